--- a/pkg/quota/allocator.go
+++ b/pkg/quota/allocator.go
@@ -6,207 +6,211 @@
 	"time"
 )
 
-// Policy is how exactly a limit must hold.
+// Policy sets how exactly a limit must hold.
 type Policy struct {
-	// Window is the time in which calls are counted. In any such time no more may be let in than
-	// (rate x window + burst) x (1 + Overage) + Slack.
+	// Window is the length of the sliding window in which calls are counted. No window may contain more than
+	// (rate x window + burst) x (1 + Overage) + Slack admitted calls.
 	Window  time.Duration
 	Overage float64
 	Slack   float64
 }
 
 const (
-	// burstPart of the burst, and slackPart of the slack, are what a window may hold beyond the rate. The
-	// rest is for what comes before nodes hear that a tenant is limited, and for nodes that were not heard.
-	burstPart = 0.9
-	slackPart = 0.25
-	// reactTime is how long it takes from calls that come to nodes that keep to a rate: a report, a sum, a
-	// look and the way back. A tenant is limited while what it asks for in spareTimes as long does not fit
-	// its window any more, and free again once freeTimes as much as that fits.
-	reactTime  = 600 * time.Millisecond
-	spareTimes = 1.25
-	freeTimes  = 1.3
-	// settleTime is the time in which a window that holds too much, or too little, gets what is missing.
-	settleTime = time.Second
-	// leastPart of its rate a tenant that is limited always gets. At most it gets floodTimes the rate, or spareRateTimes
-	// while it asks for less than that: what some nodes do not use of their shares must not be lost.
-	leastPart      = 0.05
-	floodTimes     = 1.3
-	spareRateTimes = 1.6
-	// startTime is how long a new leader waits before it tells anything: replicas tell it their sums several times
-	// in it.
-	startTime = 300 * time.Millisecond
+	// A window may contain burstFraction of the burst and slackFraction of the slack beyond the rate. The rest
+	// covers calls that are admitted before nodes learn that a tenant is limited, and calls at disconnected
+	// nodes.
+	burstFraction = 0.9
+	slackFraction = 0.25
+	// reactionTime is the delay until nodes apply a new rate: report, sum, allocation and delivery. A tenant
+	// is limited while its free capacity is less than its calls in limitMargin x reactionTime. unlimitMargin
+	// multiplies this threshold for a tenant that is already limited (hysteresis).
+	reactionTime  = 600 * time.Millisecond
+	limitMargin   = 1.25
+	unlimitMargin = 1.3
+	// correctionTime is the time in which a deviation of the window from its target is corrected.
+	correctionTime = time.Second
+	// These multiples of a tenant's limit bound its rate while it is limited. maxRateFactorBelowLimit replaces
+	// maxRateFactor while its demand is below the limit, since some nodes don't use their whole share then.
+	minRateFraction         = 0.05
+	maxRateFactor           = 1.3
+	maxRateFactorBelowLimit = 1.6
+	// leaderStartDelay is the time that a new leader waits for the replicas' sums before it allocates.
+	leaderStartDelay = 300 * time.Millisecond
 )
 
-// Allocator works out shares from the sums of all replicas. It is not safe for concurrent use.
+// Allocator computes shares from the sums of all replicas. It is not safe for concurrent use.
 type Allocator struct {
-	policy Policy
-	begun  time.Duration
-	sums   map[string]heldSum
-	held   map[string]Share
-	// lost are the last sums of replicas that started again.
-	lost []lostSum
-	// ended is how many ended lives counted in the latest shares.
-	ended int
-	// told is when shares were worked out first, zero before.
-	told time.Duration
+	policy    Policy
+	startedAt time.Duration
+	sums      map[string]latestSum
+	previous  map[string]Share
+	// beforeRestart holds the last sums of replicas that have restarted.
+	beforeRestart []sumBeforeRestart
+	// endedLives is the number of ended process runs in the latest shares.
+	endedLives int
+	// firstSharesAt is when shares were first computed, zero before that.
+	firstSharesAt time.Duration
 }
 
-type heldSum struct {
-	sum Sum
-	at  time.Duration
-	// lives are those that it heard of when it told them last.
+type latestSum struct {
+	sum        Sum
+	receivedAt time.Duration
+	// lives are the process runs in the replica's last complete list.
 	lives []Life
-	// kept are the parts of limits that the replica's nodes had when all replicas were heard last.
-	kept parts
+	// reserved is the part of each limit that the replica's nodes held when all replicas were last connected.
+	reserved fractions
 }
 
-// NewAllocator returns an allocator that has heard of nothing yet.
+// NewAllocator returns an allocator without any sums.
 func NewAllocator(now time.Duration, policy Policy) *Allocator {
-	return &Allocator{policy: policy, begun: now, sums: map[string]heldSum{}, held: map[string]Share{}}
+	return &Allocator{policy: policy, startedAt: now, sums: map[string]latestSum{}, previous: map[string]Share{}}
 }
 
-// Take keeps a replica's newest sum.
+// Take stores the newest sum of a replica.
 func (a *Allocator) Take(now time.Duration, sum Sum) {
-	held := a.sums[sum.Replica]
-	a.lose(held, sum)
-	if sum.Lives != nil || sum.beginsAnew(held.sum) {
-		held.lives = sum.Lives
+	last := a.sums[sum.Replica]
+	a.keepSumBeforeRestart(last, sum)
+	if sum.Lives != nil || sum.restartedSince(last.sum) {
+		last.lives = sum.Lives
 	}
-	held.sum, held.at = sum, now
-	a.sums[sum.Replica] = held
+	last.sum, last.receivedAt = sum, now
+	a.sums[sum.Replica] = last
 }
 
-// Shares returns the shares of all tenants that have a limit and called lately, in the order of their names;
-// false if not enough was heard yet.
+// Shares returns the shares of all tenants that have a limit and recent calls, sorted by name. It returns
+// false while too little is known, such as directly after the leader has started.
 func (a *Allocator) Shares(now time.Duration, limits map[string]Limit) (Shares, bool) {
-	return a.sharesOf(now, limits, func(string) float64 { return 1 })
+	return a.sharesOfFraction(now, limits, func(string) float64 { return 1 })
 }
 
-// sharesOf is Shares for a part of each limit.
-func (a *Allocator) sharesOf(now time.Duration, limits map[string]Limit, partOf func(tenant string) float64) (Shares, bool) {
-	if now-a.begun < startTime {
+// sharesOfFraction computes shares of a fraction of each limit.
+func (a *Allocator) sharesOfFraction(now time.Duration, limits map[string]Limit, fractionOf func(tenant string) float64) (Shares, bool) {
+	if now-a.startedAt < leaderStartDelay {
 		return Shares{}, false
 	}
-	maps.DeleteFunc(a.sums, func(_ string, held heldSum) bool { return now-held.at > silentTime })
-	var heard []Sum
-	var silent []heldSum
-	for _, held := range a.sums {
-		if now-held.at > silence || a.unheardBy(now, held) {
-			silent = append(silent, held)
+	maps.DeleteFunc(a.sums, func(_ string, last latestSum) bool { return now-last.receivedAt > silentRetention })
+	var live []Sum
+	var silent []latestSum
+	for _, last := range a.sums {
+		if now-last.receivedAt > peerTimeout || a.hasNoLeader(now, last) {
+			silent = append(silent, last)
 			continue
 		}
-		heard = append(heard, held.sum)
+		live = append(live, last.sum)
 	}
-	all := a.joinAll(now, heard)
+	all := a.combineAll(now, live)
 	if all.nodes == 0 {
 		return Shares{}, false
 	}
-	a.ended = all.ended
+	a.endedLives = all.endedLives
 	shares := Shares{Nodes: all.nodes}
 	unseen := all.unseen / float64(all.nodes)
 	next := make(map[string]Share, len(all.uses))
 	for name, use := range all.uses {
 		if limit, found := limits[name]; found {
-			share := a.share(limit, partOf(name)*leftBy(silent, name), use, unseen)
-			share.Asked = all.present[name].Asked
+			share := a.allocate(limit, fractionOf(name)*unreservedFraction(silent, name), use, unseen)
+			share.Asked = all.active[name].Asked
 			next[name] = share
 		}
 	}
-	// Who was limited is told once more that it is not.
-	for name, held := range a.held {
-		if limit, found := limits[name]; found && held.Limited && next[name].Tenant == "" {
+	// Tells nodes once that a tenant is no longer limited.
+	for name, last := range a.previous {
+		if limit, found := limits[name]; found && last.Limited && next[name].Tenant == "" {
 			next[name] = Share{Tenant: name, Rate: float32(limit.Rate), Part: 1}
 		}
 	}
-	a.held = next
+	a.previous = next
 	shares.List = slices.SortedFunc(maps.Values(next), compareShares)
-	a.noteParts(now, shares.Nodes, all.uses)
-	if a.told == 0 {
-		a.told = now
+	a.recordReserved(now, shares.Nodes, all.uses)
+	if a.firstSharesAt == 0 {
+		a.firstSharesAt = now
 	}
 	return shares, true
 }
 
-// unheardBy reports whether a replica does not hear this leader, though it is heard. Before the leader has told
-// anything for a while no replica can have heard it.
-func (a *Allocator) unheardBy(now time.Duration, held heldSum) bool {
-	return held.sum.Alone && a.told > 0 && now-a.told > 2*silence
+// hasNoLeader reports whether a replica receives no shares although the leader receives its sums. This can't
+// be known until the leader has sent shares for a while.
+func (a *Allocator) hasNoLeader(now time.Duration, last latestSum) bool {
+	return last.sum.Alone && a.firstSharesAt > 0 && now-a.firstSharesAt > 2*peerTimeout
 }
 
-// Uses returns what all replicas told last.
+// Uses returns the combined use of all connected replicas, by tenant.
 func (a *Allocator) Uses(now time.Duration) map[string]Use {
-	var heard []Sum
-	for _, held := range a.sums {
-		if now-held.at <= silence {
-			heard = append(heard, held.sum)
+	var live []Sum
+	for _, last := range a.sums {
+		if now-last.receivedAt <= peerTimeout {
+			live = append(live, last.sum)
 		}
 	}
-	return a.joinAll(now, heard).uses
+	return a.combineAll(now, live).uses
 }
 
-// joinAll adds up the sums that are heard and what is left of those that were lost.
-func (a *Allocator) joinAll(now time.Duration, heard []Sum) joined {
-	return join(append(heard, a.lostSums(now, heard)...), a.policy.Window)
+// combineAll combines the given sums with those from before replicas' restarts.
+func (a *Allocator) combineAll(now time.Duration, live []Sum) combined {
+	return combine(append(live, a.sumsBeforeRestart(now, live)...), a.policy.Window)
 }
 
-// Kept is how many lives of nodes that have ended, and sums of replicas that started again, counted in the latest shares.
-func (a *Allocator) Kept() (lives, sums int) { return a.ended, len(a.lost) }
+// Kept returns how many ended process runs, and how many sums from before replicas' restarts, count in the
+// latest shares.
+func (a *Allocator) Kept() (lives, sums int) { return a.endedLives, len(a.beforeRestart) }
 
-// noteParts keeps which part of each limit the nodes of each replica have, unless some replica may not hear it any
-// more: it goes by what it heard last.
-func (a *Allocator) noteParts(now time.Duration, nodes int, uses map[string]Use) {
-	for _, held := range a.sums {
-		if now-held.at > current || a.unheardBy(now, held) {
+// recordReserved stores the part of each limit that the nodes of each replica hold. It changes nothing while a
+// replica may be disconnected, because that replica still applies the parts that it received last.
+func (a *Allocator) recordReserved(now time.Duration, nodes int, uses map[string]Use) {
+	for _, last := range a.sums {
+		if now-last.receivedAt > maxCurrentAge || a.hasNoLeader(now, last) {
 			return
 		}
 	}
-	for name, held := range a.sums {
-		held.kept = held.sum.partsOf(nodes, uses)
-		a.sums[name] = held
+	for name, last := range a.sums {
+		last.reserved = last.sum.fractionsOf(nodes, uses)
+		a.sums[name] = last
 	}
 }
 
-// For returns shares as a replica is told them: with the parts that are kept for it while it is silent.
+// For returns the shares to send to one replica, with the parts that are reserved for its nodes in case it is
+// disconnected.
 func (a *Allocator) For(replica string, shares Shares) Shares {
-	kept := a.sums[replica].kept
-	shares.Kept = float32(kept.evenly)
+	reserved := a.sums[replica].reserved
+	shares.Kept = float32(reserved.other)
 	shares.List = slices.Clone(shares.List)
 	for i := range shares.List {
-		shares.List[i].Kept = float32(kept.part(shares.List[i].Tenant))
+		shares.List[i].Kept = float32(reserved.fraction(shares.List[i].Tenant))
 	}
 	return shares
 }
 
-// leftBy is the part of a limit that silent replicas leave: their nodes may still let in what is kept for them.
-func leftBy(silent []heldSum, tenant string) float64 {
-	left := 1.0
-	for _, held := range silent {
-		left -= held.kept.part(tenant)
+// unreservedFraction returns the part of a limit that is not reserved for silent replicas, whose nodes may
+// still admit calls.
+func unreservedFraction(silent []latestSum, tenant string) float64 {
+	unreserved := 1.0
+	for _, last := range silent {
+		unreserved -= last.reserved.fraction(tenant)
 	}
-	return max(0, left)
+	return max(0, unreserved)
 }
 
-// share works out one tenant's share of a part of its limit; unseen is the part of the nodes' windows that is not
-// known. What they let in before they started is taken for as much as the rate allows.
-func (a *Allocator) share(limit Limit, part float64, use Use, unseen float64) Share {
+// allocate computes the share of one tenant from a fraction of its limit. unseen is the unknown fraction of
+// all nodes' windows, for which calls at the full rate are assumed.
+func (a *Allocator) allocate(limit Limit, fraction float64, use Use, unseen float64) Share {
 	window := a.policy.Window.Seconds()
-	limit = Limit{Rate: part * limit.Rate, Burst: part * limit.Burst}
+	limit = Limit{Rate: fraction * limit.Rate, Burst: fraction * limit.Burst}
 	used := float64(use.Used) + unseen*limit.Rate*window
-	room := limit.Rate*window + burstPart*limit.Burst + slackPart*part*a.policy.Slack - used
-	spare := spareTimes * reactTime.Seconds() * float64(use.Asked)
-	letIn := float64(use.Asked)
-	if held := a.held[use.Tenant]; held.Limited {
-		spare *= freeTimes
-		letIn = min(letIn, float64(held.Rate))
+	freeCapacity := limit.Rate*window + burstFraction*limit.Burst + slackFraction*fraction*a.policy.Slack - used
+	margin := limitMargin * reactionTime.Seconds() * float64(use.Asked)
+	admittedRate := float64(use.Asked)
+	if last := a.previous[use.Tenant]; last.Limited {
+		margin *= unlimitMargin
+		admittedRate = min(admittedRate, float64(last.Rate))
 	}
-	// What was told is old by now: the window fills by what comes beyond what leaves it.
-	room -= reactTime.Seconds() * max(0, letIn-used/window)
-	most := floodTimes
+	// The reports are reactionTime old when the rate takes effect; this subtracts the calls admitted until
+	// then.
+	freeCapacity -= reactionTime.Seconds() * max(0, admittedRate-used/window)
+	maxFactor := maxRateFactor
 	if float64(use.Asked) < limit.Rate {
-		most = spareRateTimes
+		maxFactor = maxRateFactorBelowLimit
 	}
-	rate := min(most*limit.Rate, float64(use.Leaving)+unseen*limit.Rate+room/settleTime.Seconds())
-	rate = max(rate, leastPart*limit.Rate)
-	return Share{Tenant: use.Tenant, Limited: room < spare, Rate: float32(rate), Asked: use.Asked, Part: 1}
+	rate := min(maxFactor*limit.Rate, float64(use.Leaving)+unseen*limit.Rate+freeCapacity/correctionTime.Seconds())
+	rate = max(rate, minRateFraction*limit.Rate)
+	return Share{Tenant: use.Tenant, Limited: freeCapacity < margin, Rate: float32(rate), Asked: use.Asked, Part: 1}
 }
--- a/pkg/quota/doc.go
+++ b/pkg/quota/doc.go
@@ -1,19 +1,19 @@
-// Package quota holds a limit on a tenant's calls over all nodes together, without asking anybody while a
-// call waits.
+// Package quota enforces limits on tenants' calls across all nodes without a remote request per call.
 //
-// Each node counts its tenants' calls (Limiter) and reports them with its pings. Its replica sums the reports
-// of its subscribers (Replica), and control's leader those of all replicas (Allocator). What the leader makes
-// of them goes the same way back: tenants that are well below their limit are free, and nodes let their calls
-// in and only count; those near it are limited, and each node lets in its share of a rate, in proportion to
-// what it was asked for lately. A replica that hears no leader goes on for its subscribers with the part of
-// each limit that they had, and a node that hears nothing with its own: all parts together are no more than
-// the limit, so it also holds for those that are cut off.
+// Each node counts the calls of its tenants (Limiter) and reports them with its pings. A replica sums the
+// reports of its subscribers (Replica), and the leader of the control plane combines the sums of all replicas
+// (Allocator). The resulting shares go back the same way. Nodes only count the calls of a tenant well below
+// its limit. A tenant near its limit is limited: each node admits calls at its share of a rate, in proportion
+// to its recent demand. A replica without a leader continues with the part of each limit that its subscribers
+// held, and a node without a replica with its own part. All parts add up to at most the limit, so it also
+// holds during a network partition.
 //
-// A node that starts again knows nothing of what it let in before, which is still within its tenants' windows. So each
-// run of its process is a Life of its own. A replica tells the leader which lives left it, with what they had let in,
-// and which came; the leader counts a life that came nowhere else until its calls have left the window.
+// A restarted node doesn't know which calls it admitted before, although they are still within the window.
+// Each run of its process therefore has a Life with an ID of its own. Replicas report departed process runs
+// with the calls that these admitted, and newly arrived ones. The leader counts the calls of an ended run
+// until they leave the window.
 //
-// Nothing here does I/O or reads a clock.
+// The package does no I/O and reads no clock.
 package quota
 
 import (
@@ -22,123 +22,124 @@
 	"time"
 )
 
-// Limit bounds the calls of a tenant; the zero value does not.
+// Limit bounds the calls of a tenant.
 type Limit struct {
-	// Rate is in calls a second, Burst how many may come at once beyond it.
+	// Rate is in calls per second; Burst is the number of calls admitted at once beyond it.
 	Rate, Burst float64
 }
 
-// Use is what one node, or some together, saw of a tenant's calls.
+// Use describes the calls of one tenant at one node or at several.
 type Use struct {
 	Tenant string
-	// Asked is how many calls a second came lately, those that were refused among them.
+	// Asked is the recent rate of calls per second, including rejected ones.
 	Asked float32
-	// Used is how many calls were let in during the last window, Leaving how many of them will not be in it a
-	// second later.
+	// Used is the number of calls admitted in the last window, Leaving how many of them leave it in the next
+	// second.
 	Used, Leaving float32
-	// Parts are what was let in during each of some equal parts of the last window, the oldest first. Only nodes
-	// tell them: what a life let in goes on to count by them when it has ended.
+	// Parts divides Used into equal intervals of the window, oldest first. Only nodes send it; it determines
+	// when the calls of an ended process run leave the window.
 	Parts []float32
 }
 
-// partsOfWindow returns the parts of a use. Without any, calls are taken to have come evenly.
-func (u Use) partsOfWindow() []float32 {
+// bucketsOrEven returns Parts, or Used spread evenly if there are none.
+func (u Use) bucketsOrEven() []float32 {
 	if len(u.Parts) > 0 {
 		return u.Parts
 	}
-	parts := make([]float32, reportedParts)
-	for i := range parts {
-		parts[i] = u.Used / reportedParts
+	buckets := make([]float32, reportedBuckets)
+	for i := range buckets {
+		buckets[i] = u.Used / reportedBuckets
 	}
-	return parts
+	return buckets
 }
 
-// Report is what a node tells of its tenants' calls.
+// Report describes the calls of a node's tenants, or those of all nodes below a relay.
 type Report struct {
-	// Life identifies the run of the node's process, zero if it is not known.
+	// Life identifies the run of the node's process, zero if unknown.
 	Life uint64
-	// Age is for how long the node has counted: what it let in before is not known.
+	// Age is how long the node has been counting; calls admitted earlier are unknown.
 	Age  time.Duration
 	Uses []Use
-	// Nodes is how many nodes a relay tells of, zero for a node itself; Departures and Arrivals are those below it.
+	// Nodes is the number of nodes below a relay, zero in a node's own report. Departures and Arrivals are
+	// those below the relay.
 	Nodes      int
 	Departures []Departure
 	Arrivals   []Arrival
 }
 
-// Sum is what a replica tells of its subscribers' reports.
+// Sum combines the reports of a replica's subscribers.
 type Sum struct {
-	// Replica names who tells, Sequence counts its sums since it started.
+	// Replica is the sender's name. Sequence counts its sums since its start.
 	Replica  string
 	Sequence uint64
-	// Nodes is how many reports it sums, Unseen how many nodes' windows are not known for what they let in
-	// before they started, those of Arrivals among them.
+	// Nodes is the number of nodes included. Unseen is the unknown part of their windows, in whole windows of
+	// a node, including that of Arrivals.
 	Nodes  int
 	Unseen float32
-	// Departures are lives that ended or went elsewhere: their uses are not in Uses. Arrivals tell which came.
+	// Departures are process runs that ended or moved elsewhere; Uses excludes their calls. Arrivals are
+	// process runs that the replica has seen only recently.
 	Departures []Departure
 	Arrivals   []Arrival
-	// Lives are all that it hears of; told once in wholeSums only, nil otherwise.
+	// Lives lists all process runs that report to the replica; nil except in one of sumsPerLifeList sums.
 	Lives []Life
-	// Alone is set while the replica hears no leader and goes by what is kept for it.
+	// Alone is set while the replica is disconnected from the leader and applies its reserved parts.
 	Alone bool
 	Uses  []Use
 }
 
-// Share is what all nodes together may let in of a tenant's calls.
+// Share is the allocation of one tenant for all nodes together.
 type Share struct {
 	Tenant string
-	// Limited is set if nodes must keep to the rate.
+	// Limited is set if nodes must enforce the rate.
 	Limited bool
-	// Rate is that of all nodes together, in calls a second, Asked what they were asked for.
+	// Rate is the total rate of all nodes and Asked their total demand, in calls per second.
 	Rate, Asked float32
-	// Part of the tenant's limit is what all these nodes together may let in if they hear nothing any more.
+	// Part is the fraction of the limit that all these nodes together may use while disconnected.
 	Part float32
-	// Kept is the part of the limit that is kept for the subscribers of the replica that is told; nodes are
-	// not told it.
+	// Kept is the fraction of the limit that is reserved for the subscribers of the receiving replica; zero in
+	// shares for nodes.
 	Kept float32
 }
 
-// Shares are what was made of some nodes' reports.
+// Shares are the allocations computed from the reports of some nodes.
 type Shares struct {
-	// Nodes is how many nodes they are for.
+	// Nodes is the number of nodes that share the allocations.
 	Nodes int
-	// Age is how old they are.
+	// Age is the time since the shares were computed.
 	Age  time.Duration
 	List []Share
-	// Partial is set if tenants that are not in the list stay as they were told before.
+	// Partial is set if tenants that are missing from List keep their previous shares.
 	Partial bool
-	// Kept is the part of a limit that is kept for the subscribers of the replica that is told, of tenants that
-	// are not in the list.
+	// Kept is the fraction that is reserved for the receiving replica's subscribers, for tenants missing from
+	// List.
 	Kept float32
 }
 
-// For returns the shares that a node needs that has sent a report: of the tenants in it, and of those that are
-// limited.
+// For returns the shares for the sender of a report: those of its reported tenants and of all limited ones.
 func (s Shares) For(report Report) Shares {
-	told := Shares{Nodes: s.Nodes, Age: s.Age}
+	selected := Shares{Nodes: s.Nodes, Age: s.Age}
 	for _, share := range s.List {
 		_, reported := slices.BinarySearchFunc(report.Uses, share.Tenant, func(u Use, name string) int { return cmp.Compare(u.Tenant, name) })
 		if share.Limited || reported {
 			share.Kept = 0
-			told.List = append(told.List, share)
+			selected.List = append(selected.List, share)
 		}
 	}
-	return told
+	return selected
 }
 
-// compareUses orders uses by their tenants' names, as reports and sums list them.
+// compareUses orders uses by tenant.
 func compareUses(a, b Use) int { return cmp.Compare(a.Tenant, b.Tenant) }
 
-// compareShares orders shares by their tenants' names, as Shares lists them.
+// compareShares orders shares by tenant.
 func compareShares(a, b Share) int { return cmp.Compare(a.Tenant, b.Tenant) }
 
-// Over returns shares with those of earlier ones that they do not name.
+// Over returns s with the shares from earlier for tenants that s doesn't contain.
 func (s Shares) Over(earlier Shares) Shares {
 	merged := s
 	merged.List = slices.Clone(s.List)
 	for _, share := range earlier.List {
-		if _, named := s.find(share.Tenant); !named {
+		if _, found := s.find(share.Tenant); !found {
 			merged.List = append(merged.List, share)
 		}
 	}
@@ -154,19 +155,19 @@
 	return Share{}, false
 }
 
-// find returns where a tenant is in the list, and whether it is there.
+// find returns the index of a tenant's share and whether it exists.
 func (s Shares) find(tenant string) (int, bool) {
 	return slices.BinarySearchFunc(s.List, tenant, func(share Share, name string) int { return cmp.Compare(share.Tenant, name) })
 }
 
-// News returns the shares that nodes must hear of at once if they know earlier ones: of tenants that are limited
-// or were.
+// News returns the shares that must be sent to nodes immediately: those of tenants that are limited or were
+// limited in earlier.
 func (s Shares) News(earlier Shares) Shares {
-	news := Shares{Nodes: s.Nodes, Age: s.Age}
+	changed := Shares{Nodes: s.Nodes, Age: s.Age}
 	for _, share := range s.List {
 		if before, _ := earlier.Of(share.Tenant); share.Limited || before.Limited {
-			news.List = append(news.List, share)
+			changed.List = append(changed.List, share)
 		}
 	}
-	return news
+	return changed
 }
--- a/pkg/quota/limiter_test.go
+++ b/pkg/quota/limiter_test.go
@@ -15,157 +15,157 @@
 	return l
 }
 
-// take asks for some calls and returns how many were let in.
-func take(l *Limiter, now time.Duration, calls int) (admitted int) {
+// admit offers a number of calls and returns how many were admitted.
+func admit(l *Limiter, now time.Duration, calls int) (admitted int) {
 	for range calls {
-		if in, _ := l.Admit(now, "t", false); in {
+		if ok, _ := l.Admit(now, "t", false); ok {
 			admitted++
 		}
 	}
 	return admitted
 }
 
-func shared(limited bool, rate, asked float32) Shares {
+func sharesOf(limited bool, rate, asked float32) Shares {
 	return Shares{Nodes: 10, List: []Share{{Tenant: "t", Limited: limited, Rate: rate, Asked: asked, Part: 1}}}
 }
 
-func TestTenantsWithoutALimitAreLetIn(t *testing.T) {
+func TestTenantsWithoutLimitAreAdmitted(t *testing.T) {
 	is := is.New(t)
 	l := newLimiter(Limit{Rate: 1})
 	for range 100 {
-		in, _ := l.Admit(0, "nobody", false)
-		is.True(in)
+		ok, _ := l.Admit(0, "nobody", false)
+		is.True(ok)
 	}
 	l.Return(0, "nobody")
 }
 
-// A tenant that is free is only counted; a limited one gets the node's share of the rate.
-func TestNodesKeepToTheirShare(t *testing.T) {
+// Guards against rejecting calls of unlimited tenants, and against exceeding the node's share of a limited
+// one's rate.
+func TestLimitedTenantGetsNodeShare(t *testing.T) {
 	is := is.New(t)
 	l := newLimiter(Limit{Rate: 100, Burst: 100})
-	l.Hear(second, second, shared(false, 100, 0))
-	is.Equal(take(l, second, 50), 50)
+	l.Hear(second, second, sharesOf(false, 100, 0))
+	is.Equal(admit(l, second, 50), 50)
 	report := l.Report(second)
 	is.Equal(len(report.Uses), 1)
 	is.Equal(report.Uses[0].Used, float32(50))
 	is.True(report.Uses[0].Asked > 50)
-	l.Hear(second, second, shared(true, 100, 2*report.Uses[0].Asked))
-	is.Equal(take(l, second, 50), 0) // nothing was earned yet
+	l.Hear(second, second, sharesOf(true, 100, 2*report.Uses[0].Asked))
+	is.Equal(admit(l, second, 50), 0) // no tokens earned yet
 	admitted := 0
 	for now := second; now < 2*second; now += 10 * time.Millisecond {
-		l.Hear(now, now, shared(true, 100, 2*report.Uses[0].Asked))
-		admitted += take(l, now, 10)
+		l.Hear(now, now, sharesOf(true, 100, 2*report.Uses[0].Asked))
+		admitted += admit(l, now, 10)
 	}
-	is.True(admitted > 40 && admitted < 50) // half of the rate, less what is spread evenly
+	is.True(admitted > 40 && admitted < 50) // half of the rate, less the evenly spread fraction
 }
 
-// A node that hears nothing goes on with its share of the limit itself, whatever was free before.
-func TestNodesThatAreCutOffAreBounded(t *testing.T) {
+// A disconnected node must fall back to its share of the configured limit.
+func TestPartitionedNodeIsBoundedByItsShareOfTheLimit(t *testing.T) {
 	is := is.New(t)
 	l := newLimiter(Limit{Rate: 100, Burst: 100})
-	take(l, second, 10)
+	admit(l, second, 10)
 	report := l.Report(second)
-	l.Hear(second, second, shared(false, 500, 10*report.Uses[0].Asked))
-	is.Equal(take(l, second+leaseTime, 100), 100) // still free
+	l.Hear(second, second, sharesOf(false, 500, 10*report.Uses[0].Asked))
+	is.Equal(admit(l, second+shareLease, 100), 100) // the lease has not expired
 	admitted := 0
-	const cut = 10 * second
-	for now := second + leaseTime + 1; now < second+leaseTime+cut; now += 10 * time.Millisecond {
-		admitted += take(l, now, 10)
+	const duration = 10 * second
+	for now := second + shareLease + 1; now < second+shareLease+duration; now += 10 * time.Millisecond {
+		admitted += admit(l, now, 10)
 	}
 	is.True(admitted > 90 && admitted < 110) // a tenth of the limit
 }
 
-// A node that has heard of nothing lets a first call in and no more: it does not know how many others do.
-func TestNodesThatHeardNothingLetOneIn(t *testing.T) {
+// A node that never received shares doesn't know the number of nodes, so it may admit only one call.
+func TestNodeWithoutSharesAdmitsOneCall(t *testing.T) {
 	is := is.New(t)
 	l := newLimiter(Limit{Rate: 100, Burst: 100})
-	is.Equal(take(l, second, 100), firstCalls)
-	is.Equal(take(l, 10*second, 100), 0)
+	is.Equal(admit(l, second, 100), initialTokens)
+	is.Equal(admit(l, 10*second, 100), 0)
 }
 
-// Refused clients are told to come one after the other.
-func TestRefusedClientsAreSpread(t *testing.T) {
+// Rejected callers must not all retry at the same time.
+func TestRetryAfterIsStaggered(t *testing.T) {
 	is := is.New(t)
 	l := newLimiter(Limit{Rate: 100, Burst: 100})
-	l.Hear(0, 0, shared(true, 100, 0))
-	take(l, 0, 1)
+	l.Hear(0, 0, sharesOf(true, 100, 0))
+	admit(l, 0, 1)
 	last := time.Duration(0)
 	for range 15 {
-		in, after := l.Admit(0, "t", false)
-		is.True(!in)
-		is.True(after > last || after == minRetry)
+		ok, after := l.Admit(0, "t", false)
+		is.True(!ok)
+		is.True(after > last || after == minRetryAfter)
 		last = after
 	}
-	is.True(last > second && last <= maxRetry) // 15 calls at 10 a second
+	is.True(last > second && last <= maxRetryAfter) // 15 calls at a rate of 10 per second
 }
 
-// What did not run is given back, and counts no more.
+// An admitted call that was not executed must not use up the limit.
 func TestReturnedCallsDoNotCount(t *testing.T) {
 	is := is.New(t)
 	l := newLimiter(Limit{Rate: 100, Burst: 100})
-	l.Hear(0, 0, shared(false, 100, 0))
-	take(l, 0, 3)
+	l.Hear(0, 0, sharesOf(false, 100, 0))
+	admit(l, 0, 3)
 	l.Return(0, "t")
 	is.Equal(l.Report(0).Uses[0].Used, float32(2))
-	l.Hear(0, 0, shared(true, 1, 0))
-	is.Equal(take(l, 0, 1), 0)
+	l.Hear(0, 0, sharesOf(true, 1, 0))
+	is.Equal(admit(l, 0, 1), 0)
 	l.Return(0, "t")
-	is.Equal(take(l, 0, 2), 1)
+	is.Equal(admit(l, 0, 2), 1)
 }
 
-// A lower limit holds before the next share comes; what was let in under the earlier one does not count for it.
-func TestLowerLimitsHoldAtOnce(t *testing.T) {
+// A lowered limit must apply before the next share arrives, and earlier calls must not count against it.
+func TestLowerLimitAppliesImmediately(t *testing.T) {
 	is := is.New(t)
 	l := newLimiter(Limit{Rate: 100, Burst: 100})
-	l.Hear(0, 0, shared(false, 100, 0))
-	take(l, 0, 50)
+	l.Hear(0, 0, sharesOf(false, 100, 0))
+	admit(l, 0, 50)
 	l.SetLimits(0, map[string]Limit{"t": {Rate: 10, Burst: 10}})
-	is.Equal(take(l, 0, 50), firstCalls)
-	is.Equal(l.Report(0).Uses[0].Used, float32(firstCalls))
+	is.Equal(admit(l, 0, 50), initialTokens)
+	is.Equal(l.Report(0).Uses[0].Used, float32(initialTokens))
 	l.SetLimits(0, nil)
-	is.Equal(take(l, 0, 50), 50)
+	is.Equal(admit(l, 0, 50), 50)
 }
 
-// Far more calls than usual are told at once, once for each report.
-func TestSurgesAreTold(t *testing.T) {
+// A surge must trigger one early report, and no second one before the next report.
+func TestSurgeTriggersOneReport(t *testing.T) {
 	is := is.New(t)
-	told := 0
-	l := NewLimiter(Config{Window: 5 * second, OnSurge: func() { told++ }})
+	reports := 0
+	l := NewLimiter(Config{Window: 5 * second, OnSurge: func() { reports++ }})
 	l.SetLimits(0, map[string]Limit{"t": {Rate: 100, Burst: 100}})
-	l.Hear(0, 0, shared(false, 100, 0))
-	take(l, 0, surgeCalls)
-	is.Equal(told, 0)
-	take(l, 0, 50)
-	is.Equal(told, 1)
+	l.Hear(0, 0, sharesOf(false, 100, 0))
+	admit(l, 0, surgeCalls)
+	is.Equal(reports, 0)
+	admit(l, 0, 50)
+	is.Equal(reports, 1)
 	l.Report(0)
-	take(l, 100*time.Millisecond, surgeCalls)
-	is.Equal(told, 1)
+	admit(l, 100*time.Millisecond, surgeCalls)
+	is.Equal(reports, 1)
 }
 
-// What no replica knows of is bounded by a count: a tenant that sends twice its usual is told of before it has sent more
-// than a fiftieth of what its window may hold beyond that.
-func TestWhatIsNotReportedIsBounded(t *testing.T) {
+// Guards against unreported calls beyond a fiftieth of the window's capacity when a tenant doubles its rate.
+func TestUnreportedCallsAreBounded(t *testing.T) {
 	is := is.New(t)
 	surged := false
 	l := NewLimiter(Config{Window: 5 * second, OnSurge: func() { surged = true }})
 	l.SetLimits(0, map[string]Limit{"t": {Rate: 200, Burst: 200}})
-	l.Hear(0, 0, shared(false, 200, 0))
+	l.Hear(0, 0, sharesOf(false, 200, 0))
 	now := time.Duration(0)
 	for ; now < 5*second; now += 10 * time.Millisecond {
-		take(l, now, 1)
+		admit(l, now, 1)
 		l.Report(now)
 	}
 	surged = false
 	calls := 0
 	for ; !surged && calls < 200; now += 10 * time.Millisecond {
-		calls += take(l, now, 2)
+		calls += admit(l, now, 2)
 	}
-	is.True(calls < 60) // a fiftieth of the window is 24 calls, and as many were expected
+	is.True(calls < 60) // 24 calls for a fiftieth of the window and as many expected ones
 }
 
-func TestWindowsForget(t *testing.T) {
+func TestSlidingWindowExpiresCalls(t *testing.T) {
 	is := is.New(t)
-	var w window
+	var w slidingWindow
 	w.add(0, 5*second, 3)
 	w.add(4*second, 5*second, 2)
 	is.Equal(w.sum(4900*time.Millisecond, 5*second), 5.0)
@@ -173,37 +173,37 @@
 	is.Equal(w.sum(100*second, 5*second), 0.0)
 }
 
-func sumOf(replica string, nodes int, asked, used float32) Sum {
+func newSum(replica string, nodes int, asked, used float32) Sum {
 	return Sum{Replica: replica, Nodes: nodes, Uses: []Use{{Tenant: "t", Asked: asked, Used: used}}}
 }
 
 var limitOfTen = map[string]Limit{"t": {Rate: 10, Burst: 10}}
 
-func TestLeadersLimitWhatNearsTheLimit(t *testing.T) {
+func TestAllocatorLimitsTenantNearItsLimit(t *testing.T) {
 	is := is.New(t)
-	a := NewAllocator(0, fakePolicy)
+	a := NewAllocator(0, testPolicy)
 	_, known := a.Shares(0, limitOfTen)
-	is.True(!known) // it has heard of nothing
-	a.Take(second, sumOf("a", 5, 3, 15))
-	a.Take(second, sumOf("b", 5, 3, 15))
+	is.True(!known) // no sums received yet
+	a.Take(second, newSum("a", 5, 3, 15))
+	a.Take(second, newSum("b", 5, 3, 15))
 	shares, known := a.Shares(second, limitOfTen)
 	is.True(known)
 	is.Equal(shares.Nodes, 10)
-	is.True(!shares.List[0].Limited) // 30 of 50 and what may burst
-	a.Take(second, sumOf("b", 5, 30, 25))
+	is.True(!shares.List[0].Limited) // 30 calls, below 50 plus the burst
+	a.Take(second, newSum("b", 5, 30, 25))
 	shares, _ = a.Shares(second, limitOfTen)
 	is.True(shares.List[0].Limited)
-	a.Take(second, sumOf("a", 5, 30, 40))
-	a.Take(second, sumOf("b", 5, 30, 40))
+	a.Take(second, newSum("a", 5, 30, 40))
+	a.Take(second, newSum("b", 5, 30, 40))
 	shares, _ = a.Shares(second, limitOfTen)
-	is.Equal(shares.List[0].Rate, float32(leastPart*10)) // the window holds too much: as little as is owed at least
+	is.Equal(shares.List[0].Rate, float32(minRateFraction*10)) // the window is over its limit: the minimum rate
 }
 
-// What nodes let in before they started counts for as much as the rate allows: after a loss of power all start anew.
-func TestWhatYoungNodesLetInIsAssumed(t *testing.T) {
+// After a power failure all nodes start with unknown windows: calls at the full rate must be assumed.
+func TestUnknownWindowsCountAtTheFullRate(t *testing.T) {
 	is := is.New(t)
-	a := NewAllocator(0, fakePolicy)
-	young := sumOf("a", 10, 30, 0)
+	a := NewAllocator(0, testPolicy)
+	young := newSum("a", 10, 30, 0)
 	young.Unseen = 10
 	a.Take(second, young)
 	shares, _ := a.Shares(second, limitOfTen)
@@ -214,88 +214,89 @@
 	is.True(!shares.List[0].Limited)
 }
 
-// Replicas that are cut off from each other let in no more together than one limit, whichever way the cut is.
-func TestPartsAreOneWhole(t *testing.T) {
+// Replicas in separate partitions must not admit more than one limit together, for partitions in one or both
+// directions.
+func TestPartitionedReplicasShareOneLimit(t *testing.T) {
 	for _, oneWay := range []bool{false, true} {
 		is := is.New(t)
-		a := NewAllocator(0, fakePolicy)
-		cut := NewReplica("b", fakePolicy)
+		a := NewAllocator(0, testPolicy)
+		partitioned := NewReplica("b", testPolicy)
 		now := second
-		a.Take(now, sumOf("a", 6, 60, 40))
+		a.Take(now, newSum("a", 6, 60, 40))
 		for i := range 4 {
-			cut.Take(now, string(rune('a'+i)), Report{Age: time.Hour, Uses: []Use{{Tenant: "t", Asked: 10, Used: 5}}})
+			partitioned.Take(now, string(rune('a'+i)), Report{Age: time.Hour, Uses: []Use{{Tenant: "t", Asked: 10, Used: 5}}})
 		}
-		a.Take(now, cut.Sum(now))
+		a.Take(now, partitioned.Sum(now))
 		shares, known := a.Shares(now, limitOfTen)
 		is.True(known)
-		cut.Hear(now, a.For("b", shares))
-		now += 3 * silence // the leader has told for so long
-		cut.Alone(now, limitOfTen)
+		partitioned.Hear(now, a.For("b", shares))
+		now += 3 * peerTimeout // the leader has sent shares for this time
+		partitioned.Alone(now, limitOfTen)
 		if oneWay {
-			a.Take(now, cut.Sum(now)) // the leader hears it, and not the other way round
+			a.Take(now, partitioned.Sum(now)) // sums reach the leader, shares don't reach the replica
 		}
-		a.Take(now, sumOf("a", 6, 60, 50))
+		a.Take(now, newSum("a", 6, 60, 50))
 		rest, _ := a.Shares(now, limitOfTen)
-		own, told := cut.Take(now, "a", Report{Age: time.Hour, Uses: []Use{{Tenant: "t", Asked: 10, Used: 5}}})
-		is.True(told)
+		own, received := partitioned.Take(now, "a", Report{Age: time.Hour, Uses: []Use{{Tenant: "t", Asked: 10, Used: 5}}})
+		is.True(received)
 		is.True(rest.List[0].Limited && own.List[0].Limited)
 		is.Equal(rest.Nodes, 6)
 		is.Equal(own.Nodes, 4)
-		kept := float64(own.List[0].Part)
-		is.True(kept > 0.25 && kept < 0.4) // it had 20 of 60 calls, and a few are taken to be spread evenly
-		room := (1-kept)*(10*5+burstPart*10+slackPart*fakePolicy.Slack) - 50
-		want := max(leastPart*(1-kept)*10, (1-kept)*10+room)
+		reserved := float64(own.List[0].Part)
+		is.True(reserved > 0.25 && reserved < 0.4) // 20 of 60 calls, adjusted by the evenly spread calls
+		freeCapacity := (1-reserved)*(10*5+burstFraction*10+slackFraction*testPolicy.Slack) - 50
+		want := max(minRateFraction*(1-reserved)*10, (1-reserved)*10+freeCapacity)
 		is.True(float64(rest.List[0].Rate) > want-0.01 && float64(rest.List[0].Rate) < want+0.01)
 	}
 }
 
-// A replica passes on what it heard for as long as a node would go by it, and forgets nodes that left.
-func TestReplicasTellWhatTheyHeard(t *testing.T) {
+// A replica must forward shares only within their lease, and must not count nodes that have left.
+func TestReplicaForwardsSharesUntilTheyExpire(t *testing.T) {
 	is := is.New(t)
-	r := NewReplica("a", fakePolicy)
+	r := NewReplica("a", testPolicy)
 	report := Report{Age: 2 * second, Uses: []Use{{Tenant: "t", Asked: 1, Used: 1}}}
 	_, known := r.Take(0, "n", report)
 	is.True(!known)
-	news := r.Hear(0, Shares{Nodes: 1, List: []Share{{Tenant: "t"}, {Tenant: "u"}, {Tenant: "v", Limited: true}}})
-	is.Equal(len(news.List), 1)
-	told, known := r.Take(300*time.Millisecond, "n", report)
+	changed := r.Hear(0, Shares{Nodes: 1, List: []Share{{Tenant: "t"}, {Tenant: "u"}, {Tenant: "v", Limited: true}}})
+	is.Equal(len(changed.List), 1)
+	received, known := r.Take(300*time.Millisecond, "n", report)
 	is.True(known)
-	is.Equal(told.Age, 300*time.Millisecond)
-	is.Equal(len(told.List), 2) // the one that calls, and the limited one
-	_, known = r.Take(leaseTime+1, "n", report)
+	is.Equal(received.Age, 300*time.Millisecond)
+	is.Equal(len(received.List), 2) // the calling tenant and the limited one
+	_, known = r.Take(shareLease+1, "n", report)
 	is.True(!known)
-	sum := r.Sum(leaseTime)
+	sum := r.Sum(shareLease)
 	is.Equal(sum.Nodes, 1)
 	is.True(sum.Unseen > 0.59 && sum.Unseen < 0.61)
-	r.Leave(leaseTime, "n")
-	is.Equal(r.Sum(leaseTime).Nodes, 0)
+	r.Leave(shareLease, "n")
+	is.Equal(r.Sum(shareLease).Nodes, 0)
 	r.Take(0, "n", report)
-	is.Equal(r.Sum(silentTime+1).Nodes, 0)
+	is.Equal(r.Sum(silentRetention+1).Nodes, 0)
 }
 
-// While a limit does not suffice, calls that are in time go before those that are late.
-func TestLateCallsGetNothingOfAScarceLimit(t *testing.T) {
+// While demand exceeds the rate, tokens must go to calls that are in time.
+func TestLateCallsAreRejectedWhileLimitIsScarce(t *testing.T) {
 	is := is.New(t)
 	l := newLimiter(Limit{Rate: 100, Burst: 100})
-	l.Hear(0, 0, shared(true, 100, 400))
+	l.Hear(0, 0, sharesOf(true, 100, 400))
 	l.Report(0)
-	l.Hear(0, 0, shared(true, 100, 400))
-	now := leaseTime
-	in, _ := l.Admit(now, "t", true)
-	is.True(!in)
-	in, _ = l.Admit(now, "t", false)
-	is.True(in)
-	now = 2 * leaseTime
-	l.Hear(now, now, shared(true, 100, 90)) // it suffices
-	in, _ = l.Admit(now, "t", true)
-	is.True(in)
+	l.Hear(0, 0, sharesOf(true, 100, 400))
+	now := shareLease
+	ok, _ := l.Admit(now, "t", true)
+	is.True(!ok)
+	ok, _ = l.Admit(now, "t", false)
+	is.True(ok)
+	now = 2 * shareLease
+	l.Hear(now, now, sharesOf(true, 100, 90)) // demand below the rate
+	ok, _ = l.Admit(now, "t", true)
+	is.True(ok)
 }
 
-// Replicas that went on alone are heard by the next leader: they could not have heard it before it told anything.
-func TestNewLeadersTellReplicasThatWereAlone(t *testing.T) {
+// A new leader must count replicas that had no leader: they can't have received its shares before it sent any.
+func TestNewLeaderResumesReplicasWithoutLeader(t *testing.T) {
 	is := is.New(t)
 	now := second
-	before, replica := NewAllocator(0, fakePolicy), NewReplica("a", fakePolicy)
+	before, replica := NewAllocator(0, testPolicy), NewReplica("a", testPolicy)
 	report := Report{Age: time.Hour, Uses: []Use{{Tenant: "t", Asked: 30, Used: 20}}}
 	replica.Take(now, "n", report)
 	before.Take(now, replica.Sum(now))
@@ -305,9 +306,9 @@
 	replica.Take(now, "n", report)
 	replica.Alone(now, limitOfTen)
 	is.True(replica.Sum(now).Alone)
-	next := NewAllocator(now, fakePolicy)
+	next := NewAllocator(now, testPolicy)
 	for range 20 {
-		now += startTime
+		now += leaderStartDelay
 		replica.Alone(now, limitOfTen)
 		next.Take(now, replica.Sum(now))
 		shares, known := next.Shares(now, limitOfTen)
@@ -319,15 +320,14 @@
 	}
 }
 
-// What a node let in before it started again still counts, also if it starts again and again, and also if its
-// connection had been closed meanwhile.
-func TestNodesThatStartAgainAreNotForgotten(t *testing.T) {
+// Calls admitted before a restart must count after repeated restarts, with and without a closed connection.
+func TestCallsBeforeNodeRestartStillCount(t *testing.T) {
 	for _, closed := range []bool{false, true} {
 		is := is.New(t)
-		r := NewReplica("a", fakePolicy)
+		r := NewReplica("a", testPolicy)
 		used := func(now time.Duration) float32 {
 			sum := r.Sum(now)
-			is.Equal(sum.Unseen, float32(0)) // all of it is known
+			is.Equal(sum.Unseen, float32(0)) // the whole window is known
 			if len(sum.Uses) == 0 {
 				return 0
 			}
@@ -341,7 +341,7 @@
 			}
 			r.Take(now, "n", Report{Age: 100 * time.Millisecond})
 		}
-		is.True(used(3*second) > 10 && used(3*second) < 25) // three fifths of its window are over
+		is.True(used(3*second) > 10 && used(3*second) < 25) // three fifths of the window have passed
 		is.Equal(used(9*second), float32(0))
 	}
 }
--- a/pkg/quota/meter.go
+++ b/pkg/quota/meter.go
@@ -8,34 +8,35 @@
 )
 
 const (
-	// windowParts is how many parts a window is counted in: a count holds up to one more than the window.
-	windowParts = 20
-	// reportedParts is how many parts of a window a node tells: what an ended life let in leaves by them. Five tell of
-	// each second of the usual window.
-	reportedParts = 5
-	// askedHalfLife is after how long a call counts half in the rate of calls that come: short, so that a
-	// flood shows with the next report, and long beside the pause between two reports.
-	askedHalfLife = 500 * time.Millisecond
-	// leastCounted is the shortest time that a rate is worked out for: a first call is no flood.
-	leastCounted = 200 * time.Millisecond
+	// windowBuckets is the number of buckets per window; a count covers up to one bucket more than the window.
+	windowBuckets = 20
+	// reportedBuckets is the number of buckets in a report, by which calls of an ended process run leave the
+	// window.
+	reportedBuckets = 5
+	// rateHalfLife is the half-life of a call in the rate: short enough to show a flood in the next report,
+	// long compared to the report interval.
+	rateHalfLife = 500 * time.Millisecond
+	// minRateInterval is the shortest interval over which a rate is computed, so that a first call doesn't
+	// look like a flood.
+	minRateInterval = 200 * time.Millisecond
 )
 
-// window counts calls in the last time of a length.
-type window struct {
-	counts [windowParts]float64
-	// part is the number of the newest part since the clock's start.
-	part int64
+// slidingWindow counts calls in a sliding window of a given length.
+type slidingWindow struct {
+	counts [windowBuckets]float64
+	// bucket is the number of the newest bucket since time zero.
+	bucket int64
 }
 
-// add counts at a moment; a negative number takes back.
-func (w *window) add(now, length time.Duration, n float64) {
+// add adds n calls at the time now; n may be negative.
+func (w *slidingWindow) add(now, length time.Duration, n float64) {
 	w.advance(now, length)
-	i := w.part % windowParts
+	i := w.bucket % windowBuckets
 	w.counts[i] = max(0, w.counts[i]+n)
 }
 
-// sum is the count of the last window.
-func (w *window) sum(now, length time.Duration) float64 {
+// sum returns the number of calls in the window.
+func (w *slidingWindow) sum(now, length time.Duration) float64 {
 	w.advance(now, length)
 	sum := 0.0
 	for _, n := range w.counts {
@@ -44,54 +45,55 @@
 	return sum
 }
 
-// leaving is how many of the last window's calls will not be in it a second later.
-func (w *window) leaving(now, length time.Duration) float64 {
+// leaving returns how many calls leave the window in the next second.
+func (w *slidingWindow) leaving(now, length time.Duration) float64 {
 	w.advance(now, length)
 	sum := 0.0
-	for i := range int64(time.Second / (length / windowParts)) {
-		sum += w.counts[(w.part+1+i)%windowParts]
+	for i := range int64(time.Second / (length / windowBuckets)) {
+		sum += w.counts[(w.bucket+1+i)%windowBuckets]
 	}
 	return sum
 }
 
-// parts are the counts of equal parts of the last window, the oldest first.
-func (w *window) parts(now, length time.Duration) []float32 {
+// buckets returns the calls in reportedBuckets equal intervals of the window, oldest first.
+func (w *slidingWindow) buckets(now, length time.Duration) []float32 {
 	w.advance(now, length)
-	parts := make([]float32, reportedParts)
-	for i := range int64(windowParts) {
-		parts[i*reportedParts/windowParts] += float32(w.counts[(w.part+1+i)%windowParts])
+	buckets := make([]float32, reportedBuckets)
+	for i := range int64(windowBuckets) {
+		buckets[i*reportedBuckets/windowBuckets] += float32(w.counts[(w.bucket+1+i)%windowBuckets])
 	}
-	return parts
+	return buckets
 }
 
-func (w *window) advance(now, length time.Duration) {
-	part := int64(now / (length / windowParts))
-	for skipped := min(part-w.part, windowParts); skipped > 0; skipped-- {
-		w.part++
-		w.counts[w.part%windowParts] = 0
+func (w *slidingWindow) advance(now, length time.Duration) {
+	bucket := int64(now / (length / windowBuckets))
+	for skipped := min(bucket-w.bucket, windowBuckets); skipped > 0; skipped-- {
+		w.bucket++
+		w.counts[w.bucket%windowBuckets] = 0
 	}
-	w.part = max(w.part, part)
+	w.bucket = max(w.bucket, bucket)
 }
 
-// pace is how many calls a second come, by a count that decays. Its moments are times since the node started.
-type pace struct {
+// rateMeter measures calls per second with an exponentially decaying count. Times are relative to the node's
+// start.
+type rateMeter struct {
 	count float64
 	at    time.Duration
 }
 
-func (p *pace) note(now time.Duration) {
-	p.decay(now)
-	p.count++
+func (m *rateMeter) add(now time.Duration) {
+	m.decay(now)
+	m.count++
 }
 
-func (p *pace) rate(now time.Duration) float64 {
-	p.decay(now)
-	// A node that has just started has not counted for long enough to see the whole rate.
-	seen := 1 - clock.Kept(max(now, leastCounted), askedHalfLife)
-	return p.count * math.Ln2 / askedHalfLife.Seconds() / seen
+func (m *rateMeter) rate(now time.Duration) float64 {
+	m.decay(now)
+	// Corrects for the short history of a new node.
+	counted := 1 - clock.Kept(max(now, minRateInterval), rateHalfLife)
+	return m.count * math.Ln2 / rateHalfLife.Seconds() / counted
 }
 
-func (p *pace) decay(now time.Duration) {
-	p.count *= clock.Kept(max(0, now-p.at), askedHalfLife)
-	p.at = max(p.at, now)
+func (m *rateMeter) decay(now time.Duration) {
+	m.count *= clock.Kept(max(0, now-m.at), rateHalfLife)
+	m.at = max(m.at, now)
 }
--- a/pkg/quota/replica.go
+++ b/pkg/quota/replica.go
@@ -5,86 +5,87 @@
 	"time"
 )
 
-// silence is after how long a replica goes on without the leader, who tells its shares ten times a second, and
-// the leader without a replica, which tells its sum as often.
-const silence = 350 * time.Millisecond
+// peerTimeout is the time without a message after which a replica works without the leader, and the leader
+// without a replica. Both send ten messages a second.
+const peerTimeout = 350 * time.Millisecond
 
-// current is up to which age a sum is known not to be the last before a silence.
-const current = 150 * time.Millisecond
+// maxCurrentAge is the age up to which a sum proves that its replica is connected.
+const maxCurrentAge = 150 * time.Millisecond
 
-// wholeSums is how many sums there are to one that names all lives: they are needed only when the replica has ended.
-const wholeSums = 5
+// sumsPerLifeList is the interval, in sums, of complete lists of process runs, which are needed only after the
+// replica restarts.
+const sumsPerLifeList = 5
 
-// Replica is a replica's side of all limits, between its subscribers and the leader. It is safe for concurrent
-// use.
+// Replica aggregates the reports of a replica's or relay's subscribers and passes the leader's shares on to
+// them. It is safe for concurrent use.
 type Replica struct {
 	name   string
 	policy Policy
 
-	mu   sync.Mutex
-	sums sums
-	// told is how many sums the leader was told.
-	told uint64
-	// shares are what subscribers are told, made at a moment; known is set once there are any.
-	shares Shares
-	at     time.Duration
-	known  bool
-	// kept are the parts of limits that the leader keeps for the subscribers, by what it said last; heard is
-	// when that was, and ever set once it was.
-	kept  parts
-	heard time.Duration
-	ever  bool
-	// alone works out the subscribers' shares while no leader is heard, nil while one is.
-	alone *Allocator
+	mu      sync.Mutex
+	reports subscriberReports
+	// sumsSent counts the sums sent to the leader.
+	sumsSent uint64
+	// shares are those for subscribers, computed at sharesAt; both are valid if hasShares is set.
+	shares    Shares
+	sharesAt  time.Duration
+	hasShares bool
+	// reserved are the parts of limits reserved for the subscribers, from the leader's last message at
+	// leaderHeardAt. leaderSeen is set once there was one.
+	reserved      fractions
+	leaderHeardAt time.Duration
+	leaderSeen    bool
+	// standalone computes shares while the replica is disconnected from the leader; nil otherwise.
+	standalone *Allocator
 }
 
 // NewReplica returns a replica without subscribers.
 func NewReplica(name string, policy Policy) *Replica {
 	r := &Replica{name: name, policy: policy}
-	r.sums.unreported = r.unreported
+	r.reports.unreported = r.unreported
 	return r
 }
 
-// Take keeps a subscriber's newest report and returns what it is to be told, false if that is not known.
+// Take stores a subscriber's newest report and returns the shares for its response, false if none are valid.
 func (r *Replica) Take(now time.Duration, node string, report Report) (Shares, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.sums.take(now, node, report)
-	if !r.known || now-r.at > leaseTime {
+	r.reports.take(now, node, report)
+	if !r.hasShares || now-r.sharesAt > shareLease {
 		return Shares{}, false
 	}
-	told := r.shares.For(report)
-	told.Age = now - r.at
-	return told, true
+	selected := r.shares.For(report)
+	selected.Age = now - r.sharesAt
+	return selected, true
 }
 
-// Leave notes that a subscriber went elsewhere or ended. What it let in lately counts on, unless another replica hears
-// of the same life.
+// Leave records that a subscriber's connection has closed. Its recent calls still count, unless another
+// replica receives reports from the same process run.
 func (r *Replica) Leave(now time.Duration, node string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.sums.leave(now, node)
+	r.reports.leave(now, node)
 }
 
-// Sum returns what the leader is to be told.
+// Sum returns the next sum to send to the leader.
 func (r *Replica) Sum(now time.Duration) Sum {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	sum := r.sums.sum(now, r.name, r.policy.Window)
-	sum.Alone = r.alone != nil
-	r.told++
-	sum.Sequence = r.told
-	if r.told%wholeSums == 1 {
-		sum.Lives = r.sums.lives()
+	sum := r.reports.sum(now, r.name, r.policy.Window)
+	sum.Alone = r.standalone != nil
+	r.sumsSent++
+	sum.Sequence = r.sumsSent
+	if r.sumsSent%sumsPerLifeList == 1 {
+		sum.Lives = r.reports.lives()
 	}
 	return sum
 }
 
-// Report returns what a relay, which stands between nodes and a replica, tells of its subscribers.
+// Report returns a relay's report on its subscribers, for the replica above it.
 func (r *Replica) Report(now time.Duration) Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	sum := r.sums.sum(now, r.name, r.policy.Window)
+	sum := r.reports.sum(now, r.name, r.policy.Window)
 	seen := 1 - float64(sum.Unseen)/float64(max(1, sum.Nodes))
 	return Report{
 		Age: time.Duration(seen * float64(r.policy.Window)), Uses: sum.Uses, Nodes: sum.Nodes,
@@ -92,7 +93,7 @@
 	}
 }
 
-// unreported estimates what a subscriber let in after its last report. The caller holds the lock.
+// unreported estimates the calls that a subscriber admitted after its last report. The caller holds mu.
 func (r *Replica) unreported(use Use, gap time.Duration) float32 {
 	rate := float64(use.Asked)
 	if share, known := r.shares.Of(use.Tenant); known && share.Limited {
@@ -101,61 +102,61 @@
 	return float32(rate * gap.Seconds())
 }
 
-// Hear takes in the leader's shares, and returns what all subscribers must hear of at once.
+// Hear applies the leader's shares and returns those to send to all subscribers immediately.
 func (r *Replica) Hear(now time.Duration, shares Shares) Shares {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.heard, r.ever, r.alone = now, true, nil
-	if !shares.Partial || r.kept.of == nil {
-		r.kept.of = make(map[string]float64, len(shares.List))
+	r.leaderHeardAt, r.leaderSeen, r.standalone = now, true, nil
+	if !shares.Partial || r.reserved.byTenant == nil {
+		r.reserved.byTenant = make(map[string]float64, len(shares.List))
 	}
-	r.kept.evenly = float64(shares.Kept)
+	r.reserved.other = float64(shares.Kept)
 	for _, share := range shares.List {
-		r.kept.of[share.Tenant] = float64(share.Kept)
+		r.reserved.byTenant[share.Tenant] = float64(share.Kept)
 	}
 	if shares.Partial {
 		shares = shares.Over(r.shares)
 		shares.Partial = false
 	}
-	return r.tell(now, shares)
+	return r.setShares(now, shares)
 }
 
-// Alone works out the subscribers' shares if no leader is heard, and returns what all subscribers must hear of
-// at once. They get the part of each limit that they had: the others may be served by the rest.
+// Alone computes shares while the replica is disconnected from the leader and returns those to send to all
+// subscribers immediately. They use only the reserved parts of the limits, as the leader allocates the rest.
 func (r *Replica) Alone(now time.Duration, limits map[string]Limit) Shares {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.ever || now-r.heard < silence {
+	if !r.leaderSeen || now-r.leaderHeardAt < peerTimeout {
 		return Shares{}
 	}
-	if r.alone == nil {
-		r.alone = NewAllocator(now-startTime, r.policy)
-		r.alone.held = byTenant(r.shares.List)
+	if r.standalone == nil {
+		r.standalone = NewAllocator(now-leaderStartDelay, r.policy)
+		r.standalone.previous = sharesByTenant(r.shares.List)
 	}
-	r.alone.Take(now, r.sums.sum(now, r.name, r.policy.Window))
-	shares, known := r.alone.sharesOf(now, limits, r.kept.part)
+	r.standalone.Take(now, r.reports.sum(now, r.name, r.policy.Window))
+	shares, known := r.standalone.sharesOfFraction(now, limits, r.reserved.fraction)
 	if !known {
 		return Shares{}
 	}
 	for i := range shares.List {
-		shares.List[i].Part = float32(r.kept.part(shares.List[i].Tenant))
+		shares.List[i].Part = float32(r.reserved.fraction(shares.List[i].Tenant))
 	}
-	return r.tell(now, shares)
+	return r.setShares(now, shares)
 }
 
-func byTenant(list []Share) map[string]Share {
-	held := make(map[string]Share, len(list))
+func sharesByTenant(list []Share) map[string]Share {
+	shares := make(map[string]Share, len(list))
 	for _, share := range list {
-		held[share.Tenant] = share
+		shares[share.Tenant] = share
 	}
-	return held
+	return shares
 }
 
-func (r *Replica) tell(now time.Duration, shares Shares) Shares {
-	news := shares.News(r.shares)
-	for i := range news.List {
-		news.List[i].Kept = 0
+func (r *Replica) setShares(now time.Duration, shares Shares) Shares {
+	changed := shares.News(r.shares)
+	for i := range changed.List {
+		changed.List[i].Kept = 0
 	}
-	r.shares, r.at, r.known = shares, now-shares.Age, true
-	return news
+	r.shares, r.sharesAt, r.hasShares = shares, now-shares.Age, true
+	return changed
 }
