--- a/pkg/quarantine/doc.go
+++ b/pkg/quarantine/doc.go
@@ -1,7 +1,7 @@
-// Package quarantine recognises requests under which back ends end, and keeps them away from
-// further ones. It does no I/O and reads no clock.
+// Package quarantine detects requests whose processing crashes back ends (queries of death) and keeps them
+// from reaching further back ends. It does no I/O and reads no clock.
 //
-// Such a request (a query of death) comes again and again, each time under a new ID and at any
-// node, and each try costs one more back end with all other calls that it has. No node sees enough
-// of it, so the evidence of all gates is put together.
+// Callers repeat such a request, each time with a new ID and at any node, and each attempt crashes one more
+// back end with all its calls in flight. No single node sees enough crashes, so the control plane combines the
+// evidence of all gates.
 package quarantine
--- a/pkg/quarantine/evidence.go
+++ b/pkg/quarantine/evidence.go
@@ -2,64 +2,64 @@
 
 import "slices"
 
-// Way is on whose behalf a request goes to which service. One may be harmless to the back ends of
-// one service and end those of another, such as a new version's, and a caller's credentials may
-// decide.
+// Way identifies the caller of a request and the service that it goes to. A request may crash the back ends of
+// only one service, such as a new version's, or depend on the caller's credentials.
 type Way struct {
 	Caller  string `json:"caller,omitempty"`
 	Service string `json:"service,omitempty"`
 }
 
-// End is the end of a back end that had a request.
+// End reports that a back end crashed with a request in flight.
 type End struct {
 	Request  Fingerprint `json:"request"`
 	Instance string      `json:"instance"`
 	Way      Way         `json:"way"`
-	// Watched is set if who let the request in knew it as a suspect then. Nodes of an earlier release do not say.
+	// Watched is set if the gate that admitted the request knew it as a suspect. Nodes of earlier releases
+	// don't send it.
 	Watched bool `json:"watched,omitempty"`
-	// Void ends do not count any more: an answer came on their way after them.
+	// Void is set if the crash no longer counts because a later response arrived on the same way.
 	Void bool `json:"void,omitempty"`
 }
 
-// Answer is a back end's answer to a suspect.
+// Answer reports that a back end responded to a suspect.
 type Answer struct {
 	Request Fingerprint `json:"request"`
 	Way     Way         `json:"way"`
 }
 
-// Evidence is what gates have seen.
+// Evidence holds the crashes and responses observed by gates.
 type Evidence struct {
 	Ends    []End    `json:"ends,omitempty"`
 	Answers []Answer `json:"answers,omitempty"`
 }
 
-// Empty reports whether there is none.
+// Empty reports whether there is no evidence.
 func (e Evidence) Empty() bool { return len(e.Ends) == 0 && len(e.Answers) == 0 }
 
-// Join adds other evidence after this.
+// Join appends other evidence.
 func (e Evidence) Join(other Evidence) Evidence {
 	return Evidence{Ends: slices.Concat(e.Ends, other.Ends), Answers: slices.Concat(e.Answers, other.Answers)}
 }
 
-// Ruling is what the leader decides on a suspect.
+// Ruling is a decision of the leader on a suspect.
 type Ruling string
 
 const (
-	// Impose keeps the request from back ends.
+	// Impose rejects the request at all gates.
 	Impose Ruling = "impose"
-	// Lift lets it through again, on trial: one more end and it is kept away for longer.
+	// Lift admits the request on trial: one more crash restores the quarantine for a longer term.
 	Lift Ruling = "lift"
-	// Forget drops the suspect.
+	// Forget removes the suspect from the table.
 	Forget Ruling = "forget"
 )
 
-// Verdict is a ruling on one suspect.
+// Verdict applies a ruling to one suspect.
 type Verdict struct {
 	Request Fingerprint `json:"request"`
 	Ruling  Ruling      `json:"ruling"`
 }
 
-// Change is what changes a table: evidence, then verdicts.
+// Change modifies a table: the evidence is applied first, then the verdicts.
 type Change struct {
 	Evidence Evidence  `json:"evidence,omitzero"`
 	Verdicts []Verdict `json:"verdicts,omitempty"`
--- a/pkg/quarantine/filter.go
+++ b/pkg/quarantine/filter.go
@@ -6,20 +6,20 @@
 	"sync/atomic"
 )
 
-// Standing is what is known of a request.
+// Standing classifies a request.
 type Standing uint8
 
 const (
-	// Unsuspected requests are all but a few.
+	// Unsuspected requests are not on the watchlist.
 	Unsuspected Standing = iota
-	// Watched requests were at back ends that ended, and it matters whether they are answered.
-	// They are not repeated: each repeat may cost one more back end.
+	// Watched requests were in flight at crashed back ends. Their responses are reported, and they are not
+	// retried, since each attempt may crash another back end.
 	Watched
 	// Quarantined requests must not reach a back end.
 	Quarantined
 )
 
-// String returns the lower-case name of the standing.
+// String returns the standing in lower case, as in logs.
 func (s Standing) String() string {
 	switch s {
 	case Watched:
@@ -31,23 +31,22 @@
 	}
 }
 
-// Filter knows suspects again. It is safe for concurrent use; nil knows none. A look costs a call 3 ns
-// while there are no suspects, 0.2 microseconds while there are some, and 1.5 with a body of a
-// kilobyte if method, host and path are a suspect's (BenchmarkLook).
+// Filter looks up requests in the watchlist. It is safe for concurrent use; a nil Filter has no suspects. A
+// lookup hashes the body only if method, host and path match a suspect.
 type Filter struct {
-	known atomic.Pointer[knownEntries]
+	index atomic.Pointer[suspectIndex]
 }
 
-// knownEntries are entries by fingerprint, and the fingerprints' heads.
-type knownEntries struct {
-	list    *Watchlist
-	heads   map[Fingerprint]bool
-	entries map[Fingerprint]Entry
+// suspectIndex indexes a watchlist by fingerprint and by the fingerprints' target hashes.
+type suspectIndex struct {
+	list         *Watchlist
+	targetHashes map[Fingerprint]bool
+	entries      map[Fingerprint]Entry
 }
 
-// Set replaces what is known; it reports whether that changes anything.
+// Set replaces the watchlist and reports whether its entries differ from the previous ones.
 func (f *Filter) Set(list *Watchlist) bool {
-	before := f.known.Load()
+	before := f.index.Load()
 	if before == nil && len(list.entries()) == 0 {
 		return false
 	}
@@ -55,42 +54,42 @@
 		return false
 	}
 	if len(list.entries()) == 0 {
-		f.known.Store(nil)
+		f.index.Store(nil)
 		return true
 	}
-	next := &knownEntries{list: list, heads: map[Fingerprint]bool{}, entries: map[Fingerprint]Entry{}}
+	next := &suspectIndex{list: list, targetHashes: map[Fingerprint]bool{}, entries: map[Fingerprint]Entry{}}
 	for _, entry := range list.Entries {
-		next.heads[entry.Request.head()] = true
+		next.targetHashes[entry.Request.targetHash()] = true
 		next.entries[entry.Request] = entry
 	}
-	f.known.Store(next)
+	f.index.Store(next)
 	return true
 }
 
-// Requests returns all suspects; a quarantined one may be let through on ways on which it was
+// Requests returns the standing of all suspects, regardless of the ways on which quarantined ones were
 // answered.
 func (f *Filter) Requests() map[Fingerprint]Standing {
 	requests := map[Fingerprint]Standing{}
-	if known := f.known.Load(); known != nil {
-		for request, entry := range known.entries {
+	if index := f.index.Load(); index != nil {
+		for request, entry := range index.entries {
 			requests[request] = entry.standing()
 		}
 	}
 	return requests
 }
 
-// Count returns how many suspects have a standing.
+// Count returns the number of suspects with a standing.
 func (f *Filter) Count(standing Standing) int {
 	count := 0
-	for _, held := range f.Requests() {
-		if held == standing {
+	for _, s := range f.Requests() {
+		if s == standing {
 			count++
 		}
 	}
 	return count
 }
 
-// standing is that on ways on which no answer is known.
+// standing returns the standing on ways without a response.
 func (e Entry) standing() Standing {
 	if e.Quarantined {
 		return Quarantined
@@ -98,29 +97,29 @@
 	return Watched
 }
 
-// Match is what a filter knows of a request.
+// Match is the result of a lookup.
 type Match struct {
 	Standing Standing
-	// Request is set for suspects.
+	// Request is the fingerprint, set only for suspects.
 	Request Fingerprint
-	// Answered is set if an answer on the same way is known.
+	// Answered is set if a response on the same way is known.
 	Answered bool
 }
 
 // Empty reports whether there are no suspects.
-func (f *Filter) Empty() bool { return f == nil || f.known.Load() == nil }
+func (f *Filter) Empty() bool { return f == nil || f.index.Load() == nil }
 
-// Look returns what is known of a request with a body, or with what is held of a long one.
+// Look classifies a request by its target and body. body is the buffered part of a long one.
 func (f *Filter) Look(r *http.Request, body []byte, way Way) Match {
 	if f == nil {
 		return Match{}
 	}
-	known := f.known.Load()
-	if known == nil || !known.heads[headOf(targetOf(r))] {
+	index := f.index.Load()
+	if index == nil || !index.targetHashes[hashTarget(targetOf(r))] {
 		return Match{}
 	}
 	request := Of(r, body)
-	entry, found := known.entries[request]
+	entry, found := index.entries[request]
 	if !found {
 		return Match{}
 	}
--- a/pkg/quarantine/filter_test.go
+++ b/pkg/quarantine/filter_test.go
@@ -12,7 +12,7 @@
 	return httptest.NewRequest("POST", "http://shop.example"+path, nil)
 }
 
-func TestFilterKnowsSuspectsByBodyAndWay(t *testing.T) {
+func TestFilterMatchesSuspectsByBodyAndWay(t *testing.T) {
 	is := is.New(t)
 	var filter Filter
 	body := []byte("fatal")
@@ -21,20 +21,20 @@
 	fatal, watched := Of(post("/a"), body), Of(post("/b"), nil)
 	list := &Watchlist{Modified: 3, Entries: []Entry{{Request: fatal, Quarantined: true, Answered: []Way{desk}}, {Request: watched}}}
 	is.True(filter.Set(list))
-	is.Equal(filter.Set(&Watchlist{Modified: 4, Entries: list.Entries}), false) // it says the same
+	is.Equal(filter.Set(&Watchlist{Modified: 4, Entries: list.Entries}), false) // same entries
 	is.Equal(filter.Look(post("/a"), body, shop), Match{Standing: Quarantined, Request: fatal})
 	is.Equal(filter.Look(post("/a"), body, desk), Match{Standing: Watched, Request: fatal, Answered: true})
 	is.Equal(filter.Look(post("/a"), []byte("harmless"), shop), Match{})
 	is.Equal(filter.Look(post("/c"), body, shop), Match{})
 	is.Equal(filter.Look(post("/b"), nil, shop), Match{Standing: Watched, Request: watched})
 	is.Equal(filter.Count(Quarantined), 1)
-	is.True(filter.Set(nil)) // no suspects any more
+	is.True(filter.Set(nil)) // removes all suspects
 	is.Equal(filter.Look(post("/a"), body, shop), Match{})
 	is.Equal(filter.Set(&Watchlist{Modified: 9}), false)
 }
 
-// BenchmarkLook is what calls pay that are no suspects: without any suspects, with some, and with
-// one of the same method, host and path.
+// BenchmarkLook measures the lookup of harmless requests without suspects, with other suspects and with a
+// suspect on the same target.
 func BenchmarkLook(b *testing.B) {
 	suspect := func(path, body string) *Watchlist {
 		return &Watchlist{Entries: []Entry{{Request: Of(post(path), []byte(body)), Quarantined: true}}}
--- a/pkg/quarantine/fingerprint.go
+++ b/pkg/quarantine/fingerprint.go
@@ -10,19 +10,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Fingerprint identifies what a request asks for: method, host, path with query, and body. It is
-// 40 hexadecimal digits: 16 of a hash of all but the body, by which most other requests are told
-// apart without a look at their bodies, then 24 of a cryptographic hash of all of it, so that
-// nobody can make a request that is taken for somebody else's.
+// Fingerprint identifies a request by method, host, path with query, and body. It has 40 hexadecimal digits:
+// 16 of a fast hash of all but the body, which distinguishes most requests without reading the body, and 24 of
+// a cryptographic hash of everything, which prevents forged collisions.
 type Fingerprint string
 
-// headDigits are those that do not depend on the body, digestBytes those of the hash of all.
+// targetHashDigits is the length of the hash without the body, digestBytes that of the hash of everything.
 const (
-	headDigits  = 16
-	digestBytes = 12
+	targetHashDigits = 16
+	digestBytes      = 12
 )
 
-// Of returns the fingerprint of a request with a body, or with what is held of a long one.
+// Of returns the fingerprint of a request. body is the buffered part of a long one.
 func Of(r *http.Request, body []byte) Fingerprint {
 	target := targetOf(r)
 	digest := sha256.New()
@@ -31,27 +30,27 @@
 	digest.Write(length[:])
 	digest.Write([]byte(target))
 	digest.Write(body)
-	return headOf(target) + Fingerprint(hex.EncodeToString(digest.Sum(nil)[:digestBytes]))
+	return hashTarget(target) + Fingerprint(hex.EncodeToString(digest.Sum(nil)[:digestBytes]))
 }
 
-// Short returns the digits that tell requests apart in a log.
+// Short returns the digits that identify the request in logs.
 func (f Fingerprint) Short() string {
-	if len(f) < headDigits {
+	if len(f) < targetHashDigits {
 		return string(f)
 	}
-	return string(f[headDigits:])
+	return string(f[targetHashDigits:])
 }
 
-// head returns the digits that do not depend on the body.
-func (f Fingerprint) head() Fingerprint { return f[:min(headDigits, len(f))] }
+// targetHash returns the digits that are independent of the body.
+func (f Fingerprint) targetHash() Fingerprint { return f[:min(targetHashDigits, len(f))] }
 
-// targetOf is what a request asks for, without its body.
+// targetOf returns method, host and path with query.
 func targetOf(r *http.Request) string {
 	return r.Method + " " + strings.ToLower(r.Host) + " " + r.URL.RequestURI()
 }
 
-func headOf(target string) Fingerprint {
-	var head [8]byte
-	binary.BigEndian.PutUint64(head[:], xxhash.Sum64String(target))
-	return Fingerprint(hex.EncodeToString(head[:]))
+func hashTarget(target string) Fingerprint {
+	var targetHash [8]byte
+	binary.BigEndian.PutUint64(targetHash[:], xxhash.Sum64String(target))
+	return Fingerprint(hex.EncodeToString(targetHash[:]))
 }
--- a/pkg/quarantine/fingerprint_test.go
+++ b/pkg/quarantine/fingerprint_test.go
@@ -7,14 +7,14 @@
 	"github.com/matryer/is"
 )
 
-func TestFingerprintsDifferInAnyPart(t *testing.T) {
+func TestFingerprintDependsOnEveryPart(t *testing.T) {
 	is := is.New(t)
 	of := func(method, target, body string) Fingerprint {
 		return Of(httptest.NewRequest(method, target, nil), []byte(body))
 	}
 	base := of("POST", "http://shop.example/order/a?x=1", "body")
-	is.Equal(base, of("POST", "http://SHOP.example/order/a?x=1", "body")) // hosts are the same in any case
-	is.Equal(len(base), headDigits+2*digestBytes)
+	is.Equal(base, of("POST", "http://SHOP.example/order/a?x=1", "body")) // host names are case-insensitive
+	is.Equal(len(base), targetHashDigits+2*digestBytes)
 	for _, other := range []Fingerprint{
 		of("PUT", "http://shop.example/order/a?x=1", "body"),
 		of("POST", "http://other.example/order/a?x=1", "body"),
@@ -25,5 +25,5 @@
 		is.True(other != base)
 		is.True(other.Short() != base.Short())
 	}
-	is.Equal(of("POST", "http://shop.example/order/a?x=1", "").head(), base.head()) // a body does not change the head
+	is.Equal(of("POST", "http://shop.example/order/a?x=1", "").targetHash(), base.targetHash()) // the body doesn't change the target hash
 }
--- a/pkg/quarantine/judge.go
+++ b/pkg/quarantine/judge.go
@@ -6,30 +6,25 @@
 )
 
 const (
-	// answerTime is how long nodes have known a suspect, and none has seen an answer to it, before
-	// it is kept from back ends. It counts from a try that was let in while they knew it and ended
-	// its back end: until then silence may mean that back ends are cold, full or evacuated, and get
-	// none of it. A request that is at three back ends at once by chance comes often enough to be
-	// answered within it: innocent ones that were at up to seven ends in nine seconds, of 13, were.
-	answerTime = time.Second
-	// firstTerm is how long a first quarantine lasts, maxTerm the longest: each after a trial is
-	// twice as long as the one before. So a request that stays fatal is tried ten times in the
-	// first day, and one that has become harmless, since its service was mended, is let through
-	// within the term.
+	// responseWait is how long nodes must have watched a suspect without a response before its quarantine. It
+	// starts with a crash of an attempt that was admitted while watched: without such an attempt, a missing
+	// response may only mean that no back end could take the request.
+	responseWait = time.Second
+	// firstTerm is the duration of a first quarantine. It doubles after each trial that fails, up to maxTerm.
 	firstTerm = 10 * time.Minute
 	maxTerm   = 4 * time.Hour
-	// forgetTime is after how long a suspect that is not in quarantine is forgotten.
+	// forgetTime is how long a suspect outside quarantine is kept after its last change.
 	forgetTime = 10 * time.Minute
-	// certainEnds condemn a request also while its service has no back end that could answer: that many
-	// ended one after the other, each new one soon after it had joined.
-	certainEnds = 5
-	// answerableLook is how soon to look again whether a service has a back end again.
-	answerableLook = 100 * time.Millisecond
-	// idleLook is how long a judge sleeps that has nothing to decide, more than any term.
-	idleLook = 24 * time.Hour
+	// certainCrashes impose a quarantine even while the service has no back end that could respond, because
+	// each new one crashes soon after it joins.
+	certainCrashes = 5
+	// answerableRecheck is the interval of checks whether a service has a back end again.
+	answerableRecheck = 100 * time.Millisecond
+	// idleInterval is the interval of checks without pending decisions; it exceeds all terms.
+	idleInterval = 24 * time.Hour
 )
 
-// term is how long the quarantine of a suspect lasts.
+// term returns the duration of the suspect's quarantine.
 func (s *Suspect) term() time.Duration {
 	term := firstTerm
 	for range s.Terms {
@@ -38,39 +33,39 @@
 	return term
 }
 
-// Judge decides on suspects by how long it has known them as they are; the leader has one, which
-// begins anew with each leader. It is not safe for concurrent use.
+// Judge decides when to impose or lift a quarantine and to forget suspects. It measures times from its own
+// observations, so that each new leader starts over. It is not safe for concurrent use.
 type Judge struct {
-	// Answerable, if set, reports whether a suspect's service has a back end that could answer it: one that
-	// has not ended. Silence is evidence only for as long as there is one.
+	// Answerable, if set, reports whether the suspect's service has a running back end that could respond. A
+	// missing response is evidence only while there is one.
 	Answerable func(*Suspect) bool
-	known      map[Fingerprint]knownSuspect
+	observed   map[Fingerprint]observation
 }
 
-// knownSuspect is since when nodes have known a suspect, since when a try in vain speaks against it that no quarantined request
-// explains, and since when it has been quarantined or not, and unchanged.
-type knownSuspect struct {
-	told, vain, quarantined            bool
-	changed                            uint64
-	toldAt, vainAt, since, unchangedAt time.Duration
-	// tied is set while another suspect was at the same back ends.
+// observation records the state of a suspect and since when it has been so: published to nodes, crashed while
+// watched without a quarantined request that explains it, quarantined or not, unchanged.
+type observation struct {
+	published, crashedWatched, quarantined                           bool
+	changed                                                          uint64
+	publishedAt, crashedWatchedAt, quarantineChangedAt, lastChangeAt time.Duration
+	// tied is set while another suspect was in flight at the same crashes.
 	tied bool
-	// answerable is set while a back end could answer, silentSince is from when on that was so.
-	answerable  bool
-	silentSince time.Duration
+	// answerable is set while a back end could respond, without interruption since answerableSince.
+	answerable      bool
+	answerableSince time.Duration
 }
 
-// NewJudge returns a judge that knows nothing.
-func NewJudge() *Judge { return &Judge{known: map[Fingerprint]knownSuspect{}} }
+// NewJudge returns a judge without observations.
+func NewJudge() *Judge { return &Judge{observed: map[Fingerprint]observation{}} }
 
-// Due returns the verdicts that are due, and after how long to look again if nothing changes.
+// Due returns the verdicts that are due and the time until the next check if the table doesn't change.
 func (j *Judge) Due(now time.Duration, table *Table) (verdicts []Verdict, wait time.Duration) {
 	j.observeAll(now, table)
-	wait = idleLook
+	wait = idleInterval
 	var imposed []*Suspect
 	for i := range table.All() {
 		s := &table.Suspects[i]
-		ruling, due := decide(now, s, j.known[s.Request])
+		ruling, due := decide(now, s, j.observed[s.Request])
 		switch {
 		case due > now:
 			wait = min(wait, due-now)
@@ -80,80 +75,80 @@
 			verdicts = append(verdicts, Verdict{Request: s.Request, Ruling: ruling})
 		}
 	}
-	for _, s := range mostEnds(imposed) {
+	for _, s := range withoutSubsets(imposed) {
 		verdicts = append(verdicts, Verdict{Request: s.Request, Ruling: Impose})
 	}
 	return verdicts, wait
 }
 
-// mostEnds leaves out those that were only at back ends at which another one of the list was, too: that one may be why they
-// ended.
-func mostEnds(list []*Suspect) []*Suspect {
+// withoutSubsets removes suspects whose crashes are a proper subset of another one's in the list, since the
+// other request probably caused them.
+func withoutSubsets(list []*Suspect) []*Suspect {
 	return slices.DeleteFunc(slices.Clone(list), func(s *Suspect) bool {
-		return slices.ContainsFunc(list, func(other *Suspect) bool { return s.within(other) && !other.within(s) })
+		return slices.ContainsFunc(list, func(other *Suspect) bool { return s.crashesWithin(other) && !other.crashesWithin(s) })
 	})
 }
 
-// observeAll notes since when all suspects have been as they are, and forgets what is no suspect any more.
+// observeAll updates the observations of all suspects and drops those of removed ones.
 func (j *Judge) observeAll(now time.Duration, table *Table) {
-	known := make(map[Fingerprint]knownSuspect)
-	told := map[Fingerprint]bool{}
-	for _, s := range table.told() {
-		told[s.Request] = true
+	observed := make(map[Fingerprint]observation)
+	published := map[Fingerprint]bool{}
+	for _, s := range table.published() {
+		published[s.Request] = true
 	}
 	for _, s := range table.All() {
-		k := j.observe(now, &s, told[s.Request], s.triedInVain() && !table.explains(&s))
-		k.tied = k.vain && table.ties(&s)
-		k.answerable = j.Answerable == nil || j.Answerable(&s)
-		if !k.answerable || !j.known[s.Request].answerable {
-			k.silentSince = now
+		o := j.observe(now, &s, published[s.Request], s.crashedWhileWatched() && !table.quarantineExplains(&s))
+		o.tied = o.crashedWatched && table.hasTie(&s)
+		o.answerable = j.Answerable == nil || j.Answerable(&s)
+		if !o.answerable || !j.observed[s.Request].answerable {
+			o.answerableSince = now
 		}
-		known[s.Request] = k
+		observed[s.Request] = o
 	}
-	j.known = known
+	j.observed = observed
 }
 
-// observe notes since when a suspect has been as it is.
-func (j *Judge) observe(now time.Duration, s *Suspect, told, vain bool) knownSuspect {
-	k, found := j.known[s.Request]
+// observe updates the observation of one suspect.
+func (j *Judge) observe(now time.Duration, s *Suspect, published, crashedWatched bool) observation {
+	o, found := j.observed[s.Request]
 	if !found {
-		return knownSuspect{
-			told: told, vain: vain, quarantined: s.Quarantined, changed: s.Changed,
-			toldAt: now, vainAt: now, since: now, unchangedAt: now,
+		return observation{
+			published: published, crashedWatched: crashedWatched, quarantined: s.Quarantined, changed: s.Changed,
+			publishedAt: now, crashedWatchedAt: now, quarantineChangedAt: now, lastChangeAt: now,
 		}
 	}
-	if told && !k.told {
-		k.toldAt = now
+	if published && !o.published {
+		o.publishedAt = now
 	}
-	if vain && !k.vain {
-		k.vainAt = now
+	if crashedWatched && !o.crashedWatched {
+		o.crashedWatchedAt = now
 	}
-	if s.Quarantined != k.quarantined {
-		k.since = now
+	if s.Quarantined != o.quarantined {
+		o.quarantineChangedAt = now
 	}
-	if s.Changed != k.changed {
-		k.unchangedAt = now
+	if s.Changed != o.changed {
+		o.lastChangeAt = now
 	}
-	k.told, k.vain, k.quarantined, k.changed = told, vain, s.Quarantined, s.Changed
-	return k
+	o.published, o.crashedWatched, o.quarantined, o.changed = published, crashedWatched, s.Quarantined, s.Changed
+	return o
 }
 
 // decide returns the next ruling on a suspect and when it is due if nothing changes.
-func decide(now time.Duration, s *Suspect, k knownSuspect) (Ruling, time.Duration) {
+func decide(now time.Duration, s *Suspect, o observation) (Ruling, time.Duration) {
 	switch {
 	case s.Quarantined:
-		return Lift, k.since + s.term()
-	case s.counted() < quarantineEnds || !k.told || !k.vain:
-		return Forget, k.unchangedAt + forgetTime
-	case s.counted() < certainEnds && !k.answerable:
-		return Impose, now + answerableLook
+		return Lift, o.quarantineChangedAt + s.term()
+	case s.crashCount() < quarantineCrashes || !o.published || !o.crashedWatched:
+		return Forget, o.lastChangeAt + forgetTime
+	case s.crashCount() < certainCrashes && !o.answerable:
+		return Impose, now + answerableRecheck
 	}
-	due := max(k.toldAt, k.vainAt) + answerTime
-	if s.counted() < certainEnds {
-		due = max(due, k.silentSince+answerTime)
+	due := max(o.publishedAt, o.crashedWatchedAt) + responseWait
+	if s.crashCount() < certainCrashes {
+		due = max(due, o.answerableSince+responseWait)
 	}
-	if k.tied {
-		due += answerTime
+	if o.tied {
+		due += responseWait
 	}
 	return Impose, due
 }
--- a/pkg/quarantine/outbox.go
+++ b/pkg/quarantine/outbox.go
@@ -7,80 +7,80 @@
 )
 
 const (
-	// resendTime is for how long after it was first sent evidence is sent again: the server that
-	// got it may have lost its leader, and the next one knows nothing of it.
+	// resendTime is how long evidence is resent after it was first sent. A receiver may lose its leader before
+	// the evidence is replicated.
 	resendTime = 3 * time.Second
-	// maxWaiting bounds what waits, more than a back end has calls at once; what does not fit is
-	// lost, and counted.
-	maxWaiting = 64
+	// maxPending bounds the pending items of each kind; it exceeds the calls in flight at a back end. Further
+	// items are dropped and counted.
+	maxPending = 64
 )
 
-// Outbox holds a node's evidence until the control plane has had time to take it in. It is safe for
+// Outbox holds a node's evidence until the control plane has had time to replicate it. It is safe for
 // concurrent use.
 type Outbox struct {
 	mu      sync.Mutex
-	ends    []waiting[End]
-	answers []waiting[Answer]
+	ends    []pending[End]
+	answers []pending[Answer]
 	lost    int
 }
 
-// waiting is evidence with when it was first sent, if it was.
-type waiting[T comparable] struct {
+// pending is an item of evidence and when it was first sent.
+type pending[T comparable] struct {
 	value T
 	sent  bool
 	at    time.Duration
 }
 
-// Ended adds the end of a back end; it reports whether that is new.
+// Ended adds a crash and reports whether it is new.
 func (o *Outbox) Ended(end End) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return add(o, &o.ends, end)
 }
 
-// Answered adds an answer to a suspect; it reports whether that is new.
+// Answered adds a response to a suspect and reports whether it is new.
 func (o *Outbox) Answered(answer Answer) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return add(o, &o.answers, answer)
 }
 
-func add[T comparable](o *Outbox, list *[]waiting[T], value T) bool {
-	if slices.ContainsFunc(*list, func(w waiting[T]) bool { return w.value == value }) {
+func add[T comparable](o *Outbox, list *[]pending[T], value T) bool {
+	if slices.ContainsFunc(*list, func(p pending[T]) bool { return p.value == value }) {
 		return false
 	}
-	if len(*list) >= maxWaiting {
+	if len(*list) >= maxPending {
 		o.lost++
 		return false
 	}
-	*list = append(*list, waiting[T]{value: value})
+	*list = append(*list, pending[T]{value: value})
 	return true
 }
 
-// Lost returns how much did not fit.
+// Lost returns the number of dropped items.
 func (o *Outbox) Lost() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.lost
 }
 
-// Take returns what to send now.
+// Take returns the evidence to send.
 func (o *Outbox) Take(now time.Duration) Evidence {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return Evidence{Ends: take(&o.ends, now), Answers: take(&o.answers, now)}
 }
 
-// take returns what is still to be sent, and drops the rest.
-func take[T comparable](list *[]waiting[T], now time.Duration) []T {
-	*list = slices.DeleteFunc(*list, func(w waiting[T]) bool { return w.sent && now-w.at >= resendTime })
+// take removes the items that have been resent for long enough and returns the others.
+func take[T comparable](list *[]pending[T], now time.Duration) []T {
+	*list = slices.DeleteFunc(*list, func(p pending[T]) bool { return p.sent && now-p.at >= resendTime })
 	var values []T
 	for i := range *list {
-		w := &(*list)[i]
-		if !w.sent {
-			w.sent, w.at = true, now
+		p := &(*list)[i]
+		if !p.sent {
+			p.sent, p.at = true, now
 		}
-		values = append(values, w.value)
+		values = append(values, p.value)
 	}
 	return values
 }
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -6,40 +6,39 @@
 )
 
 const (
-	// watchEnds back ends that ended while they had a request make it watched: what one had is
-	// mostly innocent, and with two there is time to look for an answer before a third.
-	watchEnds = 2
-	// quarantineEnds back ends that ended, with no answer in between, keep a request from more.
-	// By chance that happens to a request that is at work nearly all the time, which then is
-	// answered elsewhere within answerTime.
-	quarantineEnds = 3
-	// maxSuspects bounds the table. A back end that ends makes suspects of what it had, some ten
-	// requests, nearly all of which are soon forgotten.
+	// watchCrashes is the number of crashes that make a request watched. Most requests in flight at one crash
+	// are harmless; from the second on there is time to see a response before a third.
+	watchCrashes = 2
+	// quarantineCrashes is the number of crashes without a response in between that allow a quarantine. A
+	// harmless request is in flight at that many only if it is frequent, and then it gets a response elsewhere
+	// within responseWait.
+	quarantineCrashes = 3
+	// maxSuspects bounds the table. Each crash adds the requests in flight, and nearly all of them are soon
+	// forgotten.
 	maxSuspects = 128
-	// maxWatched bounds how many of those that are not in quarantine nodes are told of at a time,
-	// whose list is sent whole when it changes. It then takes a kilobyte, or six if 128 requests are
-	// in quarantine (TestWatchlistIsSmall). Others wait until some are answered.
+	// maxWatched bounds the watched requests on the watchlist, which is sent in full after each change.
+	// Further ones wait until some get a response.
 	maxWatched = 16
-	// maxEnds and maxWays bound what is remembered of one suspect.
-	maxEnds = 8
-	maxWays = 8
+	// maxCrashes and maxWays bound the history of one suspect.
+	maxCrashes = 8
+	maxWays    = 8
 )
 
-// Suspect is a request that back ends had when they ended.
+// Suspect is a request that was in flight at crashed back ends.
 type Suspect struct {
 	Request Fingerprint `json:"request"`
 	Ends    []End       `json:"ends"`
-	// Answered are the ways on which an answer came after the last end there.
+	// Answered lists the ways on which a response arrived after the last crash there.
 	Answered    []Way `json:"answered,omitempty"`
 	Quarantined bool  `json:"quarantined,omitempty"`
-	// Terms is how often a quarantine was lifted because its time was up.
+	// Terms counts quarantines that were lifted at the end of their term.
 	Terms int `json:"terms,omitempty"`
-	// Changed is the table's count of changes at the last one.
+	// Changed is the table's Changes at the suspect's last change.
 	Changed uint64 `json:"changed"`
 }
 
-// counted returns how many ends count.
-func (s *Suspect) counted() int {
+// crashCount returns the number of crashes that are not void.
+func (s *Suspect) crashCount() int {
 	count := 0
 	for _, end := range s.Ends {
 		if !end.Void {
@@ -49,52 +48,53 @@
 	return count
 }
 
-// triedInVain reports whether an end that counts came from a try that was let in while the request was watched.
-func (s *Suspect) triedInVain() bool {
+// crashedWhileWatched reports whether a crash that counts came from an attempt admitted while the request was
+// watched.
+func (s *Suspect) crashedWhileWatched() bool {
 	return slices.ContainsFunc(s.Ends, func(e End) bool { return e.Watched && !e.Void })
 }
 
-// within reports whether another suspect was at each back end whose end counts, too.
-func (s *Suspect) within(other *Suspect) bool {
-	return !slices.ContainsFunc(s.Ends, func(e End) bool { return !e.Void && !other.endedAt(e.Instance) })
+// crashesWithin reports whether other was in flight at all crashes of s that count.
+func (s *Suspect) crashesWithin(other *Suspect) bool {
+	return !slices.ContainsFunc(s.Ends, func(e End) bool { return !e.Void && !other.crashedAt(e.Instance) })
 }
 
-// endedAt reports whether an instance's end counts.
-func (s *Suspect) endedAt(instance string) bool {
+// crashedAt reports whether a crash of the instance counts.
+func (s *Suspect) crashedAt(instance string) bool {
 	return slices.ContainsFunc(s.Ends, func(e End) bool { return !e.Void && e.Instance == instance })
 }
 
-// tied reports whether two suspects were at the same back ends, as far as their ends count.
-func (s *Suspect) tied(other *Suspect) bool {
-	return s.Request != other.Request && s.within(other) && other.within(s)
+// sameCrashes reports whether two suspects were in flight at the same crashes, as far as these count.
+func (s *Suspect) sameCrashes(other *Suspect) bool {
+	return s.Request != other.Request && s.crashesWithin(other) && other.crashesWithin(s)
 }
 
-// Standing is that on ways on which no answer is known.
+// Standing returns the standing on ways without a response.
 func (s *Suspect) Standing() Standing {
 	switch {
 	case s.Quarantined:
 		return Quarantined
-	case s.suspicious():
+	case s.watchedOrQuarantined():
 		return Watched
 	}
 	return Unsuspected
 }
 
-// suspicious reports whether nodes should know of the suspect.
-func (s *Suspect) suspicious() bool { return s.Quarantined || s.counted() >= watchEnds }
+// watchedOrQuarantined reports whether the suspect belongs on the watchlist.
+func (s *Suspect) watchedOrQuarantined() bool { return s.Quarantined || s.crashCount() >= watchCrashes }
 
-// Table is what is known of all suspects. It is immutable; nil is an empty one.
+// Table holds all suspects. It is immutable; nil is an empty table.
 type Table struct {
-	// Suspects are in the order in which they came.
+	// Suspects are in order of their first crash.
 	Suspects []Suspect `json:"suspects"`
-	// Changes counts the changes so far.
+	// Changes counts the changes of the table.
 	Changes uint64 `json:"changes"`
 }
 
 // Empty reports whether there are no suspects.
 func (t *Table) Empty() bool { return t == nil || len(t.Suspects) == 0 }
 
-// All returns the suspects, which must not be changed.
+// All returns the suspects, which must not be modified.
 func (t *Table) All() []Suspect {
 	if t == nil {
 		return nil
@@ -113,57 +113,58 @@
 	return &t.Suspects[i]
 }
 
-// explains reports whether a request in quarantine was at each back end that a suspect was at: then that one is why they
-// ended.
-func (t *Table) explains(s *Suspect) bool {
+// quarantineExplains reports whether one quarantined request was in flight at all crashes of s and thus
+// probably caused them.
+func (t *Table) quarantineExplains(s *Suspect) bool {
 	return slices.ContainsFunc(t.All(), func(other Suspect) bool {
-		return other.Quarantined && other.Request != s.Request && s.within(&other)
+		return other.Quarantined && other.Request != s.Request && s.crashesWithin(&other)
 	})
 }
 
-// ties reports whether another suspect was at the same back ends: one of the two may be innocent.
-func (t *Table) ties(s *Suspect) bool {
-	return slices.ContainsFunc(t.All(), func(other Suspect) bool { return !other.Quarantined && s.tied(&other) })
+// hasTie reports whether another suspect outside quarantine was in flight at the same crashes, so that one of
+// them may be harmless.
+func (t *Table) hasTie(s *Suspect) bool {
+	return slices.ContainsFunc(t.All(), func(other Suspect) bool { return !other.Quarantined && s.sameCrashes(&other) })
 }
 
-// News returns what of some evidence the table does not have, each once: gates repeat theirs.
+// News returns the evidence that the table doesn't contain, without duplicates. Gates resend their evidence.
 func (t *Table) News(evidence Evidence) Evidence {
-	var news Evidence
+	var added Evidence
 	for _, end := range evidence.Ends {
 		same := func(e End) bool { return e.Request == end.Request && e.Instance == end.Instance }
-		held := t.find(end.Request)
-		known := held != nil && slices.ContainsFunc(held.Ends, same)
-		if !known && !slices.ContainsFunc(news.Ends, same) {
-			news.Ends = append(news.Ends, end)
+		suspect := t.find(end.Request)
+		known := suspect != nil && slices.ContainsFunc(suspect.Ends, same)
+		if !known && !slices.ContainsFunc(added.Ends, same) {
+			added.Ends = append(added.Ends, end)
 		}
 	}
 	for _, answer := range evidence.Answers {
-		held := t.find(answer.Request)
-		known := held == nil || slices.Contains(held.Answered, answer.Way)
-		if !known && !slices.Contains(news.Answers, answer) {
-			news.Answers = append(news.Answers, answer)
+		suspect := t.find(answer.Request)
+		known := suspect == nil || slices.Contains(suspect.Answered, answer.Way)
+		if !known && !slices.Contains(added.Answers, answer) {
+			added.Answers = append(added.Answers, answer)
 		}
 	}
-	return news
+	return added
 }
 
-// With returns the table after a change, t itself if that brings nothing.
+// With returns a new table with the change applied, or t if the change has no effect.
 func (t *Table) With(change Change) *Table {
 	next := &Table{}
 	if t != nil {
 		next.Suspects, next.Changes = slices.Clone(t.Suspects), t.Changes
 	}
 	next.Changes++
-	news := next.News(change.Evidence)
-	changed := !news.Empty()
-	for _, end := range news.Ends {
-		next.takeEnd(end)
+	added := next.News(change.Evidence)
+	changed := !added.Empty()
+	for _, end := range added.Ends {
+		next.addCrash(end)
 	}
-	for _, answer := range news.Answers {
-		next.takeAnswer(answer)
+	for _, answer := range added.Answers {
+		next.addResponse(answer)
 	}
 	for _, verdict := range change.Verdicts {
-		changed = next.rule(verdict) || changed
+		changed = next.apply(verdict) || changed
 	}
 	if !changed {
 		return t
@@ -172,13 +173,13 @@
 	return next
 }
 
-// edit gives a suspect of this table lists of its own, and notes that it changes.
+// edit copies the suspect's slices before they are modified and records the change.
 func (t *Table) edit(s *Suspect) {
 	s.Ends, s.Answered = slices.Clone(s.Ends), slices.Clone(s.Answered)
 	s.Changed = t.Changes
 }
 
-func (t *Table) takeEnd(end End) {
+func (t *Table) addCrash(end End) {
 	s := t.find(end.Request)
 	if s == nil {
 		t.Suspects = append(t.Suspects, Suspect{Request: end.Request})
@@ -187,14 +188,14 @@
 	t.edit(s)
 	end.Void = false
 	s.Ends = append(s.Ends, end)
-	if len(s.Ends) > maxEnds {
-		s.Ends = s.Ends[len(s.Ends)-maxEnds:]
+	if len(s.Ends) > maxCrashes {
+		s.Ends = s.Ends[len(s.Ends)-maxCrashes:]
 	}
 	s.Answered = slices.DeleteFunc(s.Answered, func(w Way) bool { return w == end.Way })
 }
 
-// takeAnswer makes the ends on the answer's way void. A quarantine that rests on none is over.
-func (t *Table) takeAnswer(answer Answer) {
+// addResponse voids the crashes on the response's way. It ends a quarantine without any other crashes.
+func (t *Table) addResponse(answer Answer) {
 	s := t.find(answer.Request)
 	t.edit(s)
 	for i := range s.Ends {
@@ -204,26 +205,26 @@
 	if len(s.Answered) > maxWays {
 		s.Answered = s.Answered[1:]
 	}
-	if s.counted() == 0 {
+	if s.crashCount() == 0 {
 		s.Quarantined = false
 	}
 }
 
-// rule carries out a verdict if it still fits, and reports whether anything changed.
-func (t *Table) rule(verdict Verdict) bool {
+// apply executes a verdict if the suspect's state still allows it, and reports whether anything changed.
+func (t *Table) apply(verdict Verdict) bool {
 	s := t.find(verdict.Request)
 	if s == nil {
 		return false
 	}
 	switch {
-	case verdict.Ruling == Impose && !s.Quarantined && s.counted() >= quarantineEnds:
+	case verdict.Ruling == Impose && !s.Quarantined && s.crashCount() >= quarantineCrashes:
 		t.edit(s)
 		s.Quarantined = true
 	case verdict.Ruling == Lift && s.Quarantined:
 		t.edit(s)
 		s.Quarantined = false
 		s.Terms++
-		s.onTrial()
+		s.startTrial()
 	case verdict.Ruling == Forget && !s.Quarantined:
 		t.Suspects = slices.DeleteFunc(t.Suspects, func(other Suspect) bool { return other.Request == verdict.Request })
 	default:
@@ -232,9 +233,9 @@
 	return true
 }
 
-// onTrial leaves one end less to count than a quarantine takes.
-func (s *Suspect) onTrial() {
-	excess := s.counted() - (quarantineEnds - 1)
+// startTrial voids crashes until one more is needed for a quarantine.
+func (s *Suspect) startTrial() {
+	excess := s.crashCount() - (quarantineCrashes - 1)
 	for i := range s.Ends {
 		if excess > 0 && !s.Ends[i].Void {
 			s.Ends[i].Void = true
@@ -243,12 +244,12 @@
 	}
 }
 
-// evict drops suspects beyond the bound: those with the fewest ends, and of them the oldest.
+// evict drops the suspects with the lowest priority beyond maxSuspects.
 func (t *Table) evict() {
 	for len(t.Suspects) > maxSuspects {
 		least := 0
 		for i := range t.Suspects {
-			if t.Suspects[i].compare(&t.Suspects[least]) < 0 {
+			if t.Suspects[i].comparePriority(&t.Suspects[least]) < 0 {
 				least = i
 			}
 		}
@@ -256,14 +257,13 @@
 	}
 }
 
-// compare orders suspects by how much they matter, the least first: those in quarantine come after
-// all others, then it is more ends, then the later change.
-func (s *Suspect) compare(other *Suspect) int {
+// comparePriority orders suspects by quarantine, number of crashes and last change, lowest priority first.
+func (s *Suspect) comparePriority(other *Suspect) int {
 	switch {
 	case s.Quarantined && !other.Quarantined:
 		return 1
 	case !s.Quarantined && other.Quarantined:
 		return -1
 	}
-	return cmp.Or(cmp.Compare(s.counted(), other.counted()), cmp.Compare(s.Changed, other.Changed))
+	return cmp.Or(cmp.Compare(s.crashCount(), other.crashCount()), cmp.Compare(s.Changed, other.Changed))
 }
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -17,28 +17,29 @@
 	desk = Way{Caller: "desk", Service: "orders"}
 )
 
-// ended is the end of a back end that got a request which nodes watched.
-func ended(request, instance string, way Way) Change {
+// watchedCrash returns the crash of a back end with a request in flight that was admitted while watched.
+func watchedCrash(request, instance string, way Way) Change {
 	return Change{Evidence: Evidence{Ends: []End{{Request: Fingerprint(request), Instance: instance, Way: way, Watched: true}}}}
 }
 
-// endedBefore is the end of one that got a request before nodes watched it.
-func endedBefore(request, instance string, way Way) Change {
-	change := ended(request, instance, way)
+// unwatchedCrash returns the crash of a back end with a request in flight that was admitted before it was
+// watched.
+func unwatchedCrash(request, instance string, way Way) Change {
+	change := watchedCrash(request, instance, way)
 	change.Evidence.Ends[0].Watched = false
 	return change
 }
 
-func answered(request string, way Way) Change {
+func response(request string, way Way) Change {
 	return Change{Evidence: Evidence{Answers: []Answer{{Request: Fingerprint(request), Way: way}}}}
 }
 
-func ruled(request string, ruling Ruling) Change {
+func verdict(request string, ruling Ruling) Change {
 	return Change{Verdicts: []Verdict{{Request: Fingerprint(request), Ruling: ruling}}}
 }
 
-// after returns a table after changes.
-func after(t *Table, changes ...Change) *Table {
+// apply applies changes to a table.
+func apply(t *Table, changes ...Change) *Table {
 	for _, change := range changes {
 		t = t.With(change)
 	}
@@ -47,121 +48,123 @@
 
 func entries(t *Table) []Entry { return t.Watchlist(1).Entries }
 
-func TestThreeEndsWithoutAnswerMayBringQuarantine(t *testing.T) {
+func TestQuarantineNeedsThreeCrashesAndVerdict(t *testing.T) {
 	is := is.New(t)
 	var table *Table
-	table = after(table, ended("r", "i1", shop))
-	is.Equal(len(entries(table)), 0) // what one back end had is mostly innocent
-	table = after(table, ended("r", "i1", desk))
-	is.Equal(len(entries(table)), 0) // one instance ends once
-	table = after(table, ended("r", "i2", desk), ruled("r", Impose))
-	is.Equal(entries(table), []Entry{{Request: "r"}}) // two do not suffice, whatever a leader has said
-	table = after(table, ended("r", "i3", shop))
-	is.Equal(entries(table), []Entry{{Request: "r"}}) // three do not suffice without a verdict
-	table = after(table, ruled("r", Impose))
+	table = apply(table, watchedCrash("r", "i1", shop))
+	is.Equal(len(entries(table)), 0) // one crash is no evidence
+	table = apply(table, watchedCrash("r", "i1", desk))
+	is.Equal(len(entries(table)), 0) // an instance crashes only once
+	table = apply(table, watchedCrash("r", "i2", desk), verdict("r", Impose))
+	is.Equal(entries(table), []Entry{{Request: "r"}}) // two crashes don't allow a quarantine, even with a verdict
+	table = apply(table, watchedCrash("r", "i3", shop))
+	is.Equal(entries(table), []Entry{{Request: "r"}}) // three crashes need a verdict
+	table = apply(table, verdict("r", Impose))
 	is.Equal(entries(table), []Entry{{Request: "r", Quarantined: true}})
 }
 
-// A node repeats its evidence with each message; two repeats may come to the leader together.
+// Nodes resend their evidence, and the leader may receive two copies together: they must count once.
 func TestRepeatedEvidenceCountsOnce(t *testing.T) {
 	is := is.New(t)
-	end := ended("r", "i1", shop).Evidence
-	table := after(nil, Change{Evidence: end.Join(end).Join(end)})
-	is.Equal(table.Suspects[0].counted(), 1)
+	end := watchedCrash("r", "i1", shop).Evidence
+	table := apply(nil, Change{Evidence: end.Join(end).Join(end)})
+	is.Equal(table.Suspects[0].crashCount(), 1)
 	is.Equal(len((*Table)(nil).News(end.Join(end)).Ends), 1)
-	both := ended("r", "i2", shop).Evidence
-	table = after(table, Change{Evidence: both})
-	answer := answered("r", shop).Evidence
+	both := watchedCrash("r", "i2", shop).Evidence
+	table = apply(table, Change{Evidence: both})
+	answer := response("r", shop).Evidence
 	is.Equal(len(table.News(answer.Join(answer)).Answers), 1)
-	is.Equal(len(after(table, Change{Evidence: answer.Join(answer)}).Suspects[0].Answered), 1)
+	is.Equal(len(apply(table, Change{Evidence: answer.Join(answer)}).Suspects[0].Answered), 1)
 }
 
-// Requests that come often are at work wherever a back end ends for another reason. An answer tells
-// them from those under which back ends end.
-func TestAnswerVoidsEndsOnItsWay(t *testing.T) {
+// Frequent harmless requests are in flight at many crashes with other causes: a response must clear them on
+// its way.
+func TestResponseVoidsCrashesOnItsWay(t *testing.T) {
 	is := is.New(t)
-	table := after(nil, ended("r", "i1", shop), ended("r", "i2", shop), ended("r", "i3", shop), answered("r", shop), ruled("r", Impose))
+	table := apply(nil, watchedCrash("r", "i1", shop), watchedCrash("r", "i2", shop), watchedCrash("r", "i3", shop), response("r", shop), verdict("r", Impose))
 	is.Equal(len(entries(table)), 0)
-	is.True(table.News(ended("r", "i3", shop).Evidence).Empty()) // what a gate repeats does not count anew
-	// On another way nothing is known, so the request is kept away there, and not here.
-	table = after(table, ended("r", "i4", desk), ended("r", "i5", desk), ended("r", "i6", desk), ruled("r", Impose))
+	is.True(table.News(watchedCrash("r", "i3", shop).Evidence).Empty()) // resent evidence doesn't count again
+	// On another way there is no response: the quarantine must apply only there.
+	table = apply(table, watchedCrash("r", "i4", desk), watchedCrash("r", "i5", desk), watchedCrash("r", "i6", desk), verdict("r", Impose))
 	is.Equal(entries(table), []Entry{{Request: "r", Quarantined: true, Answered: []Way{shop}}})
-	// One more end there makes the answer old.
-	table = after(table, ended("r", "i7", shop))
+	// A later crash must invalidate the response.
+	table = apply(table, watchedCrash("r", "i7", shop))
 	is.Equal(entries(table), []Entry{{Request: "r", Quarantined: true, Answered: []Way{}}})
 }
 
-// An answer to a call that was under way when its request was quarantined shows that this was wrong.
-func TestAnswerEndsQuarantineThatRestsOnItsWay(t *testing.T) {
+// A response to a call in flight at the start of the quarantine must lift a quarantine that has no other
+// grounds.
+func TestResponseLiftsQuarantineBasedOnItsWay(t *testing.T) {
 	is := is.New(t)
-	table := after(nil, ended("r", "i1", shop), ended("r", "i2", shop), ended("r", "i3", shop), ruled("r", Impose))
+	table := apply(nil, watchedCrash("r", "i1", shop), watchedCrash("r", "i2", shop), watchedCrash("r", "i3", shop), verdict("r", Impose))
 	is.True(entries(table)[0].Quarantined)
-	is.Equal(len(entries(after(table, answered("r", shop)))), 0)
+	is.Equal(len(entries(apply(table, response("r", shop)))), 0)
 }
 
-func TestLiftedQuarantineIsATrial(t *testing.T) {
+func TestOneCrashAfterLiftRestoresQuarantine(t *testing.T) {
 	is := is.New(t)
-	table := after(nil, ended("r", "i1", shop), ended("r", "i2", shop), ended("r", "i3", shop), ended("r", "i4", shop), ruled("r", Impose), ruled("r", Lift))
+	table := apply(nil, watchedCrash("r", "i1", shop), watchedCrash("r", "i2", shop), watchedCrash("r", "i3", shop), watchedCrash("r", "i4", shop), verdict("r", Impose), verdict("r", Lift))
 	is.Equal(entries(table), []Entry{{Request: "r"}})
 	is.Equal(table.Suspects[0].Terms, 1)
-	is.Equal(table.Suspects[0].counted(), quarantineEnds-1) // one more is enough
-	table = after(table, ended("r", "i5", shop), ruled("r", Impose))
+	is.Equal(table.Suspects[0].crashCount(), quarantineCrashes-1) // one more crash suffices
+	table = apply(table, watchedCrash("r", "i5", shop), verdict("r", Impose))
 	is.True(entries(table)[0].Quarantined)
 }
 
-func TestTableIsBoundedAndKeepsWhatMatters(t *testing.T) {
+func TestTableEvictsLeastSuspectRequests(t *testing.T) {
 	is := is.New(t)
-	table := after(nil, ended("fatal", "i1", shop), ended("fatal", "i2", shop), ended("fatal", "i3", shop), ruled("fatal", Impose),
-		ended("twice", "i1", shop), ended("twice", "i2", shop))
+	table := apply(nil, watchedCrash("fatal", "i1", shop), watchedCrash("fatal", "i2", shop), watchedCrash("fatal", "i3", shop), verdict("fatal", Impose),
+		watchedCrash("twice", "i1", shop), watchedCrash("twice", "i2", shop))
 	for i := range 3 * maxSuspects {
-		table = after(table, ended(fmt.Sprintf("innocent-%d", i), "i9", shop))
+		table = apply(table, watchedCrash(fmt.Sprintf("innocent-%d", i), "i9", shop))
 	}
 	is.Equal(len(table.Suspects), maxSuspects)
 	is.Equal(entries(table), []Entry{{Request: "fatal", Quarantined: true}, {Request: "twice"}})
-	for i := range 3 * maxEnds {
-		table = after(table, ended("fatal", fmt.Sprintf("j%d", i), shop), answered("fatal", Way{Caller: fmt.Sprint(i)}))
+	for i := range 3 * maxCrashes {
+		table = apply(table, watchedCrash("fatal", fmt.Sprintf("j%d", i), shop), response("fatal", Way{Caller: fmt.Sprint(i)}))
 	}
-	is.Equal(len(table.find("fatal").Ends), maxEnds)
+	is.Equal(len(table.find("fatal").Ends), maxCrashes)
 	is.Equal(len(table.find("fatal").Answered), maxWays)
 }
 
-// While back ends end all the time, many innocent requests are at two or three of them. Nodes are told
-// of a few at a time, and only what they know of can be quarantined.
-func TestNodesKnowAFewSuspectsAtATime(t *testing.T) {
+// Many crashes make many harmless requests suspects. The watchlist must stay short, and only requests on it
+// may be quarantined.
+func TestWatchlistLengthIsBounded(t *testing.T) {
 	is := is.New(t)
-	table := after(nil, ended("fatal", "i1", shop), ended("fatal", "i2", shop), ended("fatal", "i3", shop), ruled("fatal", Impose))
+	table := apply(nil, watchedCrash("fatal", "i1", shop), watchedCrash("fatal", "i2", shop), watchedCrash("fatal", "i3", shop), verdict("fatal", Impose))
 	const popular = 3 * maxWatched
 	for i := range popular {
 		for _, instance := range []string{"i1", "i2", "i3"} {
-			table = after(table, ended(fmt.Sprintf("popular-%d", i), instance, shop))
+			table = apply(table, watchedCrash(fmt.Sprintf("popular-%d", i), instance, shop))
 		}
 	}
 	judge, now := NewJudge(), time.Duration(0)
 	for cleared := 0; cleared < popular; {
-		is.True(entries(table)[0].Quarantined) // what is in quarantine goes first
+		is.True(entries(table)[0].Quarantined) // quarantined requests come first
 		watched := entries(table)[1:]
 		is.Equal(len(watched), min(maxWatched, popular-cleared))
 		verdicts, _ := judge.Due(now, table)
-		is.Equal(len(verdicts), 0) // nobody can have answered what nodes did not know
+		is.Equal(len(verdicts), 0) // no response is possible before nodes watch the request
 		for _, entry := range watched {
-			table = after(table, answered(string(entry.Request), shop))
+			table = apply(table, response(string(entry.Request), shop))
 			cleared++
 		}
-		now += answerTime
+		now += responseWait
 	}
 	is.Equal(len(entries(table)), 1)
 }
 
-// What a node is sent when the list changes, with its type's description.
-func TestWatchlistIsSmall(t *testing.T) {
+// Bounds the encoded size of the list, including the gob type description, that each node receives after a
+// change.
+func TestWatchlistSizeIsBounded(t *testing.T) {
 	is := is.New(t)
 	size := func(quarantined int) int {
 		var table *Table
 		for i := range maxSuspects {
 			request := fmt.Sprintf("%040d", i)
-			table = after(table, ended(request, "i1", shop), ended(request, "i2", shop), ended(request, "i3", shop))
+			table = apply(table, watchedCrash(request, "i1", shop), watchedCrash(request, "i2", shop), watchedCrash(request, "i3", shop))
 			if i < quarantined {
-				table = after(table, ruled(request, Impose))
+				table = apply(table, verdict(request, Impose))
 			}
 		}
 		var encoded bytes.Buffer
@@ -173,50 +176,50 @@
 	is.True(size(maxSuspects) <= 6*1024+256)
 }
 
-// A replica that starts from a snapshot must come to the same table as one that has seen it all.
-func TestTableIsAFunctionOfItsChanges(t *testing.T) {
+// A replica that restores a snapshot must compute the same table as one that has applied all changes.
+func TestTableDependsOnlyOnItsChanges(t *testing.T) {
 	is := is.New(t)
-	first := after(nil, ended("r", "i1", shop), ended("r", "i2", desk), answered("r", shop))
+	first := apply(nil, watchedCrash("r", "i1", shop), watchedCrash("r", "i2", desk), response("r", shop))
 	saved, err := json.Marshal(first)
 	is.NoErr(err)
 	var restored *Table
 	is.NoErr(json.Unmarshal(saved, &restored))
-	changes := []Change{ended("r", "i3", desk), ended("s", "i3", desk), ended("r", "i4", desk), ruled("r", Impose), ruled("s", Forget)}
-	is.Equal(after(restored, changes...), after(first, changes...))
-	is.Equal(first, after(nil, ended("r", "i1", shop), ended("r", "i2", desk), answered("r", shop)))           // changes leave earlier tables as they were
-	is.Equal(after(first, ended("r", "i1", shop), answered("unknown", shop), ruled("unknown", Impose)), first) // no news
+	changes := []Change{watchedCrash("r", "i3", desk), watchedCrash("s", "i3", desk), watchedCrash("r", "i4", desk), verdict("r", Impose), verdict("s", Forget)}
+	is.Equal(apply(restored, changes...), apply(first, changes...))
+	is.Equal(first, apply(nil, watchedCrash("r", "i1", shop), watchedCrash("r", "i2", desk), response("r", shop)))      // earlier tables stay unchanged
+	is.Equal(apply(first, watchedCrash("r", "i1", shop), response("unknown", shop), verdict("unknown", Impose)), first) // no effect
 }
 
-func TestJudgeWaitsForAnAnswer(t *testing.T) {
+func TestJudgeWaitsForResponse(t *testing.T) {
 	is := is.New(t)
 	judge := NewJudge()
-	table := after(nil, ended("r", "i1", shop), ended("r", "i2", shop), ended("r", "i3", shop))
+	table := apply(nil, watchedCrash("r", "i1", shop), watchedCrash("r", "i2", shop), watchedCrash("r", "i3", shop))
 	verdicts, wait := judge.Due(0, table)
 	is.Equal(len(verdicts), 0)
-	is.Equal(wait, answerTime)
-	verdicts, _ = judge.Due(answerTime, after(table, answered("r", shop)))
+	is.Equal(wait, responseWait)
+	verdicts, _ = judge.Due(responseWait, apply(table, response("r", shop)))
 	is.Equal(len(verdicts), 0)
 	judge = NewJudge()
 	judge.Due(0, table)
-	verdicts, _ = judge.Due(answerTime, table)
+	verdicts, _ = judge.Due(responseWait, table)
 	is.Equal(verdicts, []Verdict{{Request: "r", Ruling: Impose}})
 }
 
-// A suspect that nodes have known for a while is decided on at its third end.
-func TestJudgeCountsFromWhenNodesKnew(t *testing.T) {
+// The time that nodes have watched a suspect before its third crash must count.
+func TestJudgeCountsTimeFromPublication(t *testing.T) {
 	is := is.New(t)
 	judge := NewJudge()
-	table := after(nil, ended("r", "i1", shop), ended("r", "i2", shop))
+	table := apply(nil, watchedCrash("r", "i1", shop), watchedCrash("r", "i2", shop))
 	judge.Due(0, table)
-	table = after(table, ended("r", "i3", shop))
-	verdicts, _ := judge.Due(answerTime, table)
+	table = apply(table, watchedCrash("r", "i3", shop))
+	verdicts, _ := judge.Due(responseWait, table)
 	is.Equal(verdicts, []Verdict{{Request: "r", Ruling: Impose}})
 }
 
-func TestTermsOfQuarantineGrow(t *testing.T) {
+func TestQuarantineTermsGrow(t *testing.T) {
 	is := is.New(t)
 	judge := NewJudge()
-	table := after(nil, ended("r", "i1", shop), ended("r", "i2", shop), ended("r", "i3", shop), ruled("r", Impose))
+	table := apply(nil, watchedCrash("r", "i1", shop), watchedCrash("r", "i2", shop), watchedCrash("r", "i3", shop), verdict("r", Impose))
 	now, instance := time.Duration(0), 3
 	var terms []time.Duration
 	for range 7 {
@@ -225,14 +228,14 @@
 		now += wait
 		verdicts, _ := judge.Due(now, table)
 		is.Equal(verdicts, []Verdict{{Request: "r", Ruling: Lift}})
-		table = after(table, Change{Verdicts: verdicts})
+		table = apply(table, Change{Verdicts: verdicts})
 		judge.Due(now, table)
 		instance++
-		table = after(table, ended("r", fmt.Sprintf("i%d", instance), shop))
-		now += answerTime
+		table = apply(table, watchedCrash("r", fmt.Sprintf("i%d", instance), shop))
+		now += responseWait
 		verdicts, _ = judge.Due(now, table)
-		is.Equal(verdicts, []Verdict{{Request: "r", Ruling: Impose}}) // one end is enough on trial
-		table = after(table, Change{Verdicts: verdicts})
+		is.Equal(verdicts, []Verdict{{Request: "r", Ruling: Impose}}) // one crash suffices on trial
+		table = apply(table, Change{Verdicts: verdicts})
 	}
 	is.Equal(terms[0], firstTerm)
 	is.Equal(terms[1], 2*firstTerm)
@@ -243,112 +246,105 @@
 func TestInnocentSuspectsAreForgotten(t *testing.T) {
 	is := is.New(t)
 	judge := NewJudge()
-	table := after(nil, ended("r", "i1", shop))
+	table := apply(nil, watchedCrash("r", "i1", shop))
 	_, wait := judge.Due(0, table)
 	is.Equal(wait, forgetTime)
 	verdicts, _ := judge.Due(forgetTime, table)
 	is.Equal(verdicts, []Verdict{{Request: "r", Ruling: Forget}})
-	is.True(after(table, Change{Verdicts: verdicts}).Empty())
+	is.True(apply(table, Change{Verdicts: verdicts}).Empty())
 	verdicts, wait = judge.Due(forgetTime, nil)
 	is.Equal(len(verdicts), 0)
-	is.Equal(wait, idleLook)
+	is.Equal(wait, idleInterval)
 }
 
-// While a service has no back end that could answer, silence says nothing of a request: three back ends that ended
-// at once, as all of a small service may, had whatever was asked most.
-func TestSilenceWithoutBackendsIsNoEvidence(t *testing.T) {
+// Guards against quarantining the most frequent requests when all back ends of a small service crash together
+// and none can respond.
+func TestNoQuarantineWithoutAnswerableBackend(t *testing.T) {
 	is := is.New(t)
-	table := after(nil, ended("r", "i1", shop), ended("r", "i2", shop), ended("r", "i3", shop))
+	table := apply(nil, watchedCrash("r", "i1", shop), watchedCrash("r", "i2", shop), watchedCrash("r", "i3", shop))
 	judge := NewJudge()
 	answerable := false
 	judge.Answerable = func(*Suspect) bool { return answerable }
 	_, wait := judge.Due(0, table)
-	is.Equal(wait, answerableLook)
-	verdicts, _ := judge.Due(10*answerTime, table)
+	is.Equal(wait, answerableRecheck)
+	verdicts, _ := judge.Due(10*responseWait, table)
 	is.Equal(len(verdicts), 0)
 	answerable = true
-	_, wait = judge.Due(20*answerTime, table)
-	is.Equal(wait, answerTime)
-	verdicts, _ = judge.Due(21*answerTime, table)
+	_, wait = judge.Due(20*responseWait, table)
+	is.Equal(wait, responseWait)
+	verdicts, _ = judge.Due(21*responseWait, table)
 	is.Equal(verdicts, []Verdict{{Request: "r", Ruling: Impose}})
 
-	// A fatal request ends each back end that joins, too: that is evidence enough.
+	// A fatal request crashes each back end that joins: enough crashes must suffice.
 	judge = NewJudge()
 	judge.Answerable = func(*Suspect) bool { return false }
-	table = after(table, ended("r", "i4", shop), ended("r", "i5", shop))
+	table = apply(table, watchedCrash("r", "i4", shop), watchedCrash("r", "i5", shop))
 	judge.Due(0, table)
-	verdicts, _ = judge.Due(answerTime, table)
+	verdicts, _ = judge.Due(responseWait, table)
 	is.Equal(verdicts, []Verdict{{Request: "r", Ruling: Impose}})
 }
 
-// A request that comes often was at all three back ends of a service that ended within 0.2 s, under another request. Those that
-// came after them were cold, or their zone was evacuated: nothing of it was let in for 1.3 s, and nobody answered. The leader saw a second without
-// an answer and kept it from back ends for ten minutes, while its callers went on:
-//
-//	backend_ended   instance=i-1 11.30, i-3 11.55, i-2 12.05
-//	call_refused    "all back ends are cold and get no more calls at the moment", 11.34 to 13.2, all 12 logged tries
-//	quarantine      ruling=impose 12.84
-//
-// Silence is evidence only once a try was let in by a gate that watched for an answer.
-func TestSilenceWithoutTriesIsNoEvidence(t *testing.T) {
+// Guards against quarantining a harmless request because no back end admitted it: a missing response is
+// evidence only after an attempt that was admitted while watched.
+func TestNoQuarantineWithoutWatchedAttempt(t *testing.T) {
 	is := is.New(t)
-	table := after(nil, endedBefore("r", "i1", shop), endedBefore("r", "i2", shop), endedBefore("r", "i3", shop))
+	table := apply(nil, unwatchedCrash("r", "i1", shop), unwatchedCrash("r", "i2", shop), unwatchedCrash("r", "i3", shop))
 	judge := NewJudge()
 	judge.Due(0, table)
-	verdicts, _ := judge.Due(10*answerTime, table)
+	verdicts, _ := judge.Due(10*responseWait, table)
 	is.Equal(len(verdicts), 0)
 
-	// Nor is it where many end at once, as when a machine room loses its power.
+	// The same holds for many simultaneous crashes, as in a power failure.
 	many := table
-	for i := range maxEnds {
-		many = after(many, endedBefore("r", fmt.Sprintf("m%d", i), shop))
+	for i := range maxCrashes {
+		many = apply(many, unwatchedCrash("r", fmt.Sprintf("m%d", i), shop))
 	}
-	judge.Due(10*answerTime, many)
-	verdicts, _ = judge.Due(20*answerTime, many)
+	judge.Due(10*responseWait, many)
+	verdicts, _ = judge.Due(20*responseWait, many)
 	is.Equal(len(verdicts), 0)
 
-	// One such try ends a fourth back end: an answer to the next ones has its second.
-	now := 30 * answerTime
-	table = after(table, ended("r", "i4", shop))
+	// After one such attempt crashes a fourth back end, a response must still arrive within responseWait.
+	now := 30 * responseWait
+	table = apply(table, watchedCrash("r", "i4", shop))
 	_, wait := judge.Due(now, table)
-	is.Equal(wait, answerTime)
-	verdicts, _ = judge.Due(now+answerTime, table)
+	is.Equal(wait, responseWait)
+	verdicts, _ = judge.Due(now+responseWait, table)
 	is.Equal(verdicts, []Verdict{{Request: "r", Ruling: Impose}})
-	verdicts, _ = judge.Due(now+answerTime, after(table, answered("r", shop)))
+	verdicts, _ = judge.Due(now+responseWait, apply(table, response("r", shop)))
 	is.Equal(len(verdicts), 0)
 }
 
-// A request that was only at back ends that a quarantined one ended is no suspect of its own: another such end changes
-// nothing, and one elsewhere gives an answer its second again.
-func TestWhatAQuarantineExplainsIsNoEvidence(t *testing.T) {
+// Crashes at which a quarantined request was also in flight must not count against another request. A crash
+// elsewhere must leave time for a response.
+func TestCrashesExplainedByQuarantineAreNoEvidence(t *testing.T) {
 	is := is.New(t)
-	table := after(nil, ended("fatal", "i1", shop), ended("fatal", "i2", shop), ended("fatal", "i3", shop), ended("fatal", "i4", shop))
+	table := apply(nil, watchedCrash("fatal", "i1", shop), watchedCrash("fatal", "i2", shop), watchedCrash("fatal", "i3", shop), watchedCrash("fatal", "i4", shop))
 	for _, instance := range []string{"i2", "i3", "i4"} {
-		table = after(table, ended("popular", instance, shop))
+		table = apply(table, watchedCrash("popular", instance, shop))
 	}
 	judge := NewJudge()
 	judge.Due(0, table)
-	verdicts, _ := judge.Due(answerTime, table)
-	is.Equal(verdicts, []Verdict{{Request: "fatal", Ruling: Impose}}) // both are due, one was at all
-	table = after(table, Change{Verdicts: verdicts}, ended("popular", "i1", shop))
-	verdicts, _ = judge.Due(5*answerTime, table)
+	verdicts, _ := judge.Due(responseWait, table)
+	is.Equal(verdicts, []Verdict{{Request: "fatal", Ruling: Impose}}) // both are due, but only "fatal" was at all crashes
+	table = apply(table, Change{Verdicts: verdicts}, watchedCrash("popular", "i1", shop))
+	verdicts, _ = judge.Due(5*responseWait, table)
 	is.Equal(len(verdicts), 0)
 
-	table = after(table, ended("popular", "i5", shop))
-	verdicts, wait := judge.Due(9*answerTime, table)
+	table = apply(table, watchedCrash("popular", "i5", shop))
+	verdicts, wait := judge.Due(9*responseWait, table)
 	is.Equal(len(verdicts), 0)
-	is.Equal(wait, answerTime)
-	verdicts, _ = judge.Due(10*answerTime, table)
+	is.Equal(wait, responseWait)
+	verdicts, _ = judge.Due(10*responseWait, table)
 	is.Equal(verdicts, []Verdict{{Request: "popular", Ruling: Impose}})
 }
 
-// Of two requests that were at the same back ends one may be innocent: an answer, or an end of the other's, has a second more
-// to tell which.
-func TestTiesWaitForOneMoreSecond(t *testing.T) {
-	tied := func() *Table {
+// Of two requests with the same crashes one may be harmless: there must be extra time for a response, or for a
+// crash of only one of them.
+func TestTiedSuspectsWaitLonger(t *testing.T) {
+	tiedSuspects := func() *Table {
 		var table *Table
 		for _, request := range []string{"popular", "fatal"} {
-			table = after(table, ended(request, "i1", shop), ended(request, "i2", shop), ended(request, "i3", shop))
+			table = apply(table, watchedCrash(request, "i1", shop), watchedCrash(request, "i2", shop), watchedCrash(request, "i3", shop))
 		}
 		return table
 	}
@@ -357,17 +353,17 @@
 		imposed []Fingerprint
 	}{
 		"nothing comes":            {Change{}, []Fingerprint{"popular", "fatal"}},
-		"one is answered":          {answered("popular", shop), []Fingerprint{"fatal"}},
-		"one ends a back end more": {ended("fatal", "i4", shop), []Fingerprint{"fatal"}},
+		"one is answered":          {response("popular", shop), []Fingerprint{"fatal"}},
+		"one ends a back end more": {watchedCrash("fatal", "i4", shop), []Fingerprint{"fatal"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			table, judge := tied(), NewJudge()
+			table, judge := tiedSuspects(), NewJudge()
 			judge.Due(0, table)
-			verdicts, wait := judge.Due(answerTime, table)
+			verdicts, wait := judge.Due(responseWait, table)
 			is.Equal(len(verdicts), 0)
-			is.Equal(wait, answerTime)
-			verdicts, _ = judge.Due(2*answerTime, after(table, c.change))
+			is.Equal(wait, responseWait)
+			verdicts, _ = judge.Due(2*responseWait, apply(table, c.change))
 			var imposed []Fingerprint
 			for _, v := range verdicts {
 				is.Equal(v.Ruling, Impose)
--- a/pkg/quarantine/watchlist.go
+++ b/pkg/quarantine/watchlist.go
@@ -5,45 +5,45 @@
 	"slices"
 )
 
-// Entry is what nodes know of a suspect.
+// Entry is the watchlist's information on one suspect.
 type Entry struct {
 	Request     Fingerprint `json:"request"`
 	Quarantined bool        `json:"quarantined,omitempty"`
-	// Answered ways are not in quarantine.
+	// Answered lists the ways that are exempt from the quarantine.
 	Answered []Way `json:"answered,omitempty"`
 }
 
-// Watchlist is what nodes know of all suspects that are watched or quarantined. It is immutable;
-// nil is an empty one.
+// Watchlist holds all watched and quarantined requests, as sent to nodes. It is immutable; nil is an empty
+// list.
 type Watchlist struct {
-	// Modified is the revision of the distributed state that changed it last.
+	// Modified is the revision of the distributed state at its last change.
 	Modified uint64  `json:"modified"`
 	Entries  []Entry `json:"entries,omitempty"`
 }
 
-// Watchlist returns what nodes are to know.
+// Watchlist returns the list to send to nodes.
 func (t *Table) Watchlist(revision uint64) *Watchlist {
 	list := &Watchlist{Modified: revision}
-	for _, s := range t.told() {
+	for _, s := range t.published() {
 		list.Entries = append(list.Entries, Entry{Request: s.Request, Quarantined: s.Quarantined, Answered: s.Answered})
 	}
-	// The same suspects are the same list, whichever changed last.
+	// Makes the order independent of the order of changes.
 	slices.SortFunc(list.Entries, func(a, b Entry) int { return cmp.Compare(a.Request, b.Request) })
 	return list
 }
 
-// told returns the suspects that nodes know: all that are in quarantine, then those with the most
-// ends up to maxWatched.
-func (t *Table) told() []Suspect {
-	var told []Suspect
+// published returns the suspects on the watchlist: all quarantined ones, then up to maxWatched others with the
+// most crashes.
+func (t *Table) published() []Suspect {
+	var published []Suspect
 	for _, s := range t.All() {
-		if s.suspicious() {
-			told = append(told, s)
+		if s.watchedOrQuarantined() {
+			published = append(published, s)
 		}
 	}
-	slices.SortStableFunc(told, func(a, b Suspect) int { return -a.compare(&b) })
+	slices.SortStableFunc(published, func(a, b Suspect) int { return -a.comparePriority(&b) })
 	watched := 0
-	return slices.DeleteFunc(told, func(s Suspect) bool {
+	return slices.DeleteFunc(published, func(s Suspect) bool {
 		if !s.Quarantined {
 			watched++
 		}
@@ -51,7 +51,7 @@
 	})
 }
 
-// Same reports whether two lists say the same.
+// Same reports whether two lists have the same entries.
 func (l *Watchlist) Same(other *Watchlist) bool {
 	return slices.EqualFunc(l.entries(), other.entries(), func(a, b Entry) bool {
 		return a.Request == b.Request && a.Quarantined == b.Quarantined && slices.Equal(a.Answered, b.Answered)
@@ -65,7 +65,7 @@
 	return l.Entries
 }
 
-// Since returns the list if it changed after a revision, or else nil.
+// Since returns the list if it changed after a revision, otherwise nil.
 func (l *Watchlist) Since(revision uint64) *Watchlist {
 	if l == nil || l.Modified <= revision {
 		return nil
