--- a/pkg/eligibility/eligibility.go
+++ b/pkg/eligibility/eligibility.go
@@ -1,8 +1,8 @@
-// Package eligibility says which back ends may take a call at all, whatever their load.
+// Package eligibility decides which back ends may take calls, regardless of their load.
 //
-// The node that has a call asks before it chooses a back end, and the gate beside the back end asks the
-// same functions once more, last: a node that is late, was restarted or is cut off from the control plane
-// is corrected there, by a refusal that is true, since the call has not run.
+// A node applies these rules when it chooses a back end, and the gate applies them again on admission. A node
+// with old information, for instance after a restart or in a network partition, thus gets a rejection from the
+// gate before the call is executed.
 package eligibility
 
 import (
@@ -13,29 +13,28 @@
 	"bramblelift/pkg/rollout"
 )
 
-// Backend is what the rules must know of a back end.
+// Backend holds the attributes of a back end that the rules depend on.
 type Backend struct {
 	Service string
 	Zone    string
-	// Version is that of the back end's software, empty if unknown: rollouts are not asked about then.
+	// Version is the software version. If it is empty, Refuses ignores rollouts.
 	Version string
 }
 
-// Rules say, by the held orders and the deployment's map of regions, which back ends may take calls. They
-// are immutable; nil has no rule.
+// Rules combines the operators' orders with the zones' regions. It is immutable; a nil *Rules has no orders
+// and no regions.
 type Rules struct {
 	orders *orders.Table
-	// regions holds the region of each zone.
+	// regions maps zones to regions.
 	regions map[string]string
 }
 
-// New returns the rules of the held orders. regions holds the region of each zone; a zone that is not in
-// it is in no region.
+// New returns the rules for a table of orders. regions maps zones to regions; other zones belong to no region.
 func New(table *orders.Table, regions map[string]string) *Rules {
 	return &Rules{orders: table, regions: regions}
 }
 
-// Region returns the region of a zone, empty if it is not known.
+// Region returns the region of a zone, empty if unknown.
 func (r *Rules) Region(zone string) string {
 	if r == nil {
 		return ""
@@ -43,8 +42,8 @@
 	return r.regions[zone]
 }
 
-// Refuses returns why a back end may get nothing new for the time being, of any route; empty if it may.
-// One that leaves never comes back and is no matter of orders.
+// Refuses returns why a back end must not take new calls of any route, or an empty reason if it may. It
+// doesn't cover back ends that are shutting down.
 func (r *Rules) Refuses(b Backend) exchange.Reason {
 	if r == nil {
 		return ""
@@ -52,30 +51,30 @@
 	if r.orders.Evacuated(b.Zone) {
 		return exchange.ReasonEvacuated
 	}
-	held, found := r.orders.RolloutOf(b.Service)
-	if found && takenBack(held) && b.Version == held.Version {
+	current, found := r.orders.RolloutOf(b.Service)
+	if found && reverted(current) && b.Version == current.Version {
 		return exchange.ReasonVersion
 	}
 	return ""
 }
 
-// takenBack reports whether the version that a rollout brought gets nothing more.
-func takenBack(r rollout.Rollout) bool {
+// reverted reports whether the new version of a rollout must not take calls any more.
+func reverted(r rollout.Rollout) bool {
 	return r.Phase == rollout.Reverting || r.Phase == rollout.RolledBack
 }
 
-// Closes reports whether a rollout closes the back end's gate: the new version takes all calls by now, while
-// the old one stays the way back.
+// Closes reports whether a rollout closes the gate of a back end of the old version. All calls then go to the
+// new version, but a rollback is still possible.
 func (r *Rules) Closes(b Backend) bool {
 	if r == nil {
 		return false
 	}
-	held, found := r.orders.RolloutOf(b.Service)
-	return found && held.Phase == rollout.Closing && b.Version != held.Version
+	current, found := r.orders.RolloutOf(b.Service)
+	return found && current.Phase == rollout.Closing && b.Version != current.Version
 }
 
-// InRegions reports whether a back end of a zone may take calls that only some regions may serve. None
-// named means all.
+// InRegions reports whether a zone is in one of the allowed regions of a route or tenant. An empty list allows
+// all zones.
 func (r *Rules) InRegions(zone string, allowed []string) bool {
 	return len(allowed) == 0 || slices.Contains(allowed, r.Region(zone))
 }
--- a/pkg/eligibility/eligibility_test.go
+++ b/pkg/eligibility/eligibility_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 )
 
-func TestWhoMayTakeCalls(t *testing.T) {
+func TestEvacuationAndRegionRules(t *testing.T) {
 	is := is.New(t)
 	var table *orders.Table
 	table = table.With(orders.Change{Evacuate: &orders.Evacuation{Zone: "a"}}, 1)
@@ -19,14 +19,14 @@
 	is.Equal(rules.Refuses(Backend{Zone: "b"}), exchange.Reason(""))
 	is.True(rules.InRegions("b", []string{"east"}))
 	is.True(!rules.InRegions("c", []string{"east"}))
-	is.True(rules.InRegions("c", nil))                 // all may
-	is.True(!rules.InRegions("zzz", []string{"east"})) // not known: rather not
+	is.True(rules.InRegions("c", nil))                 // no restriction
+	is.True(!rules.InRegions("zzz", []string{"east"})) // unknown region
 	var none *Rules
 	is.Equal(none.Refuses(Backend{Zone: "a"}), exchange.Reason(""))
 	is.True(none.InRegions("a", nil))
 }
 
-func TestRolloutsRefuseAndClose(t *testing.T) {
+func TestRolloutPhasesRefuseAndCloseBackends(t *testing.T) {
 	is := is.New(t)
 	for phase, want := range map[rollout.Phase]struct {
 		new exchange.Reason
