--- a/pkg/orders/doc.go
+++ b/pkg/orders/doc.go
@@ -1,7 +1,6 @@
-// Package orders keeps what operators have ordered besides configuration: zones whose back ends get
-// nothing new, and rollouts of a service's new version.
+// Package orders keeps operators' orders other than configuration: evacuations of zones and rollouts of
+// services' new versions.
 //
-// It does no I/O and reads no clock. The table is part of the replicated state: it changes by log
-// entries only, goes to all nodes with the stream that brings configuration, and outlives what a
-// configuration outlives.
+// It does no I/O and reads no clock. The table is part of the replicated state and changes only by log
+// entries. Nodes receive it in the same stream as configuration, and it is as durable.
 package orders
--- a/pkg/orders/table.go
+++ b/pkg/orders/table.go
@@ -7,34 +7,33 @@
 	"bramblelift/pkg/rollout"
 )
 
-// Evacuation is an operator's order that a zone's back ends get nothing new.
+// Evacuation orders that back ends in a zone take no new calls.
 type Evacuation struct {
 	Zone string `json:"zone"`
-	// AtMillis is the leader's wall clock at the order, in Unix milliseconds. It is only shown to
-	// people.
+	// AtMillis is the leader's wall-clock time of the order in Unix milliseconds, for display only.
 	AtMillis int64 `json:"at_millis,omitempty"`
 }
 
-// Table is all orders in force. It is immutable; nil is an empty one.
+// Table holds all orders in force. It is immutable; nil is an empty table.
 type Table struct {
-	// Modified is the revision of the distributed state that changed it last.
+	// Modified is the revision of the distributed state at the table's last change.
 	Modified uint64 `json:"modified"`
 	// Evacuations are sorted by zone.
 	Evacuations []Evacuation `json:"evacuations,omitempty"`
-	// Rollouts are sorted by service; a service has one at most.
+	// Rollouts are sorted by service, with at most one per service.
 	Rollouts []rollout.Rollout `json:"rollouts,omitempty"`
 }
 
-// Change is one log entry about orders; just one of the fields is set.
+// Change is a log entry that modifies the table. Exactly one field is set.
 type Change struct {
-	// Evacuate takes a zone out of service, Readmit puts it back.
+	// Evacuate starts the evacuation of a zone; Readmit names a zone whose evacuation ends.
 	Evacuate *Evacuation `json:"evacuate,omitempty"`
 	Readmit  string      `json:"readmit,omitempty"`
-	// Rollout starts, moves or ends a rollout.
+	// Rollout starts, advances or ends a rollout.
 	Rollout *rollout.Change `json:"rollout,omitempty"`
 }
 
-// Evacuated reports whether a zone's back ends get nothing new.
+// Evacuated reports whether a zone is evacuated.
 func (t *Table) Evacuated(zone string) bool {
 	if t == nil {
 		return false
@@ -43,7 +42,7 @@
 	return found
 }
 
-// EvacuatedZones returns the orders about zones, by zone.
+// EvacuatedZones returns all evacuations, sorted by zone.
 func (t *Table) EvacuatedZones() []Evacuation {
 	if t == nil {
 		return nil
@@ -55,7 +54,7 @@
 	return slices.BinarySearchFunc(t.Evacuations, zone, func(e Evacuation, zone string) int { return cmp.Compare(e.Zone, zone) })
 }
 
-// RolloutOf returns a service's rollout, false if it never had one.
+// RolloutOf returns the latest rollout of a service, false if there was none.
 func (t *Table) RolloutOf(service string) (rollout.Rollout, bool) {
 	if t == nil {
 		return rollout.Rollout{}, false
@@ -67,8 +66,7 @@
 	return t.Rollouts[i], true
 }
 
-// With returns the table after a change that is in force from a revision on, t itself if the change
-// brings nothing.
+// With returns a new table with the change applied at a revision, or t if the change has no effect.
 func (t *Table) With(change Change, revision uint64) *Table {
 	next := t.clone()
 	switch {
@@ -97,7 +95,7 @@
 	return &Table{Modified: t.Modified, Evacuations: slices.Clone(t.Evacuations), Rollouts: slices.Clone(t.Rollouts)}
 }
 
-// Since returns the table if it changed after a revision, or else nil.
+// Since returns the table if it changed after a revision, otherwise nil.
 func (t *Table) Since(revision uint64) *Table {
 	if t == nil || t.Modified <= revision {
 		return nil
@@ -105,7 +103,7 @@
 	return t
 }
 
-// Fields describes a change for logs, as keys and values.
+// Fields returns the change as log keys and values.
 func (c Change) Fields() []any {
 	switch {
 	case c.Evacuate != nil:
@@ -119,7 +117,7 @@
 	return []any{"order", "none"}
 }
 
-// AllRollouts returns the newest rollout of each service that had one.
+// AllRollouts returns the latest rollout of each service, sorted by service.
 func (t *Table) AllRollouts() []rollout.Rollout {
 	if t == nil {
 		return nil
--- a/pkg/orders/table_test.go
+++ b/pkg/orders/table_test.go
@@ -13,9 +13,9 @@
 	first := none.With(Change{Evacuate: &Evacuation{Zone: "b"}}, 5)
 	second := first.With(Change{Evacuate: &Evacuation{Zone: "a"}}, 6)
 	is.True(second.Evacuated("a") && second.Evacuated("b"))
-	is.True(!first.Evacuated("a")) // tables do not change
+	is.True(!first.Evacuated("a")) // tables are immutable
 	is.Equal(second.Evacuations[0].Zone, "a")
-	is.Equal(second.With(Change{Evacuate: &Evacuation{Zone: "a"}}, 7), second) // again: no news
+	is.Equal(second.With(Change{Evacuate: &Evacuation{Zone: "a"}}, 7), second) // repeated order: no change
 	third := second.With(Change{Readmit: "b"}, 8)
 	is.True(!third.Evacuated("b") && third.Evacuated("a") && second.Evacuated("b"))
 	is.Equal(third.With(Change{Readmit: "b"}, 9), third)
