--- a/pkg/gate/admission.go
+++ b/pkg/gate/admission.go
@@ -8,33 +8,35 @@
 )
 
 const (
-	// defaultCapacity is assumed of a back end that does not tell.
+	// defaultCapacity applies to back ends that do not report their capacity.
 	defaultCapacity = 8
-	// firstService is the assumed service time until one was seen, and serviceWeight how
-	// much each newer one counts.
-	firstService  = 20 * time.Millisecond
-	serviceWeight = 0.08
-	// hopeMargin is how much longer a wait may turn out than is expected.
-	hopeMargin = 1.3
-	// downPause is how long a back end that takes no connection is left alone.
-	downPause = 150 * time.Millisecond
+	// initialServiceTime is assumed until a call has completed; serviceTimeWeight is the weight of
+	// each new sample in the moving average.
+	initialServiceTime = 20 * time.Millisecond
+	serviceTimeWeight  = 0.08
+	// expectedWaitMargin multiplies the expected wait of a queued call to allow for estimation
+	// errors.
+	expectedWaitMargin = 1.3
+	// unreachableBackoff is how long calls are rejected after a connection to the back end failed.
+	unreachableBackoff = 150 * time.Millisecond
 )
 
-// Backend is the back end beside the gate.
+// Backend describes the back end that a gate protects.
 type Backend struct {
-	// ID changes with each start of the back end.
+	// ID identifies the instance. A restarted back end may keep its ID with a higher Incarnation.
 	ID       string
 	Service  string
 	Address  string
 	Capacity int
 	Zone     string
-	// Version is that of the back end's software, empty if unknown.
+	// Version is the version of the back end's software, empty if unknown.
 	Version string
-	// Incarnation tells starts of a back end under one ID apart; it grows.
+	// Incarnation distinguishes runs of a back end with the same ID and increases with each start.
 	Incarnation uint64
 }
 
-// SetBackend names the back end that takes calls from now on.
+// SetBackend sets the back end that receives calls. A new ID or incarnation resets the gate's state
+// and rejects all queued calls.
 func (g *Gate) SetBackend(backend Backend) {
 	if backend.Capacity <= 0 {
 		backend.Capacity = defaultCapacity
@@ -46,41 +48,42 @@
 		g.applyRules()
 		return
 	}
-	if g.left = g.backend.ID; g.left == backend.ID {
-		g.left = "" // calls that are meant for the ID are for its next life, too
+	if g.departedID = g.backend.ID; g.departedID == backend.ID {
+		g.departedID = "" // calls for this ID are also valid for its next incarnation
 	}
 	g.backend, g.present = backend, true
 	g.generation++
-	g.running, g.service, g.pace, g.health, g.downUntil = 0, 0, pace{}, health{}, 0
+	g.running, g.serviceTime, g.slowdown, g.health, g.unreachableUntil = 0, 0, slowdown{}, health{}, 0
 	g.dropWaiting(exchange.ReasonAbsent)
 	now := g.config.Now()
 	g.cold.assumeNew(now)
-	g.wasCold = false
-	g.closing = closing{}
+	g.reportedCold = false
+	g.closed = closedState{}
 	g.applyRules()
-	g.setVersion()
+	g.resetRollout()
 }
 
-// RemoveBackend lets nothing new reach a back end.
+// RemoveBackend stops admitting calls to the back end with this ID and rejects the queued ones. It
+// does nothing for any other ID.
 func (g *Gate) RemoveBackend(id string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.backend.ID != id {
 		return
 	}
-	g.present, g.left = false, id
+	g.present, g.departedID = false, id
 	g.dropWaiting(exchange.ReasonAbsent)
-	g.followRollout()
+	g.applyRollout()
 }
 
-// Present reports whether there is a back end that takes calls.
+// Present reports whether the gate has a back end.
 func (g *Gate) Present() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.present
 }
 
-// Stop refuses everything new.
+// Stop rejects all queued and future calls.
 func (g *Gate) Stop() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -88,174 +91,179 @@
 	g.dropWaiting(exchange.ReasonAbsent)
 }
 
-// dropWaiting lets all waiters go; the mutex is held.
+// dropWaiting rejects all queued calls with reason. g.mu must be held.
 func (g *Gate) dropWaiting(reason exchange.Reason) {
-	for w := g.queue.first(); w != nil; w = g.queue.first() {
+	for w := g.queue.popFirst(); w != nil; w = g.queue.popFirst() {
 		w.reason = reason
 		close(w.dropped)
 	}
 }
 
-// admittance is the right to send one call to the back end.
-type admittance struct {
+// admission is a slot for one call at the back end.
+type admission struct {
 	backend Backend
-	// work is what the caller expected the call to take.
+	// work is the service time that the caller expects.
 	work       time.Duration
 	generation uint64
-	at         time.Duration
-	counted    counted
-	// repeat is set if the call was at another back end before.
-	repeat bool
+	admittedAt time.Duration
+	tallyEntry tallyEntry
+	// retry is set if another back end received the call before.
+	retry bool
 }
 
-// request is what admission must know of a call.
+// request holds the properties of a call that admission depends on.
 type request struct {
+	// instance is the ID of the back end that the call is meant for, empty for any.
 	instance string
-	// targetLeft is when the call should be answered, if it is targeted; late calls can no
-	// longer be.
+	// targetLeft is the time left until the call's target latency, if targeted; late is set once
+	// the target can no longer be met.
 	targetLeft time.Duration
 	targeted   bool
 	late       bool
 	priority   int
 	deadline   time.Duration
-	wait       time.Duration
-	// early is until when a refusal helps the caller most.
-	early time.Duration
-	work  time.Duration
-	// answer is how many bytes a large answer is expected to have, zero for one that is not large.
-	answer int64
-	// lateAt is when the call becomes late unless the back end has begun it, zero if it has
-	// no target latency.
+	// wait is how long the call may wait for a slot. After earlyWait it is rejected if it is
+	// unlikely to be admitted within wait, so that the caller can retry elsewhere.
+	wait      time.Duration
+	earlyWait time.Duration
+	// work is the service time that the caller expects.
+	work time.Duration
+	// expectedResponse is the expected response size in bytes, zero if the response is not expected
+	// to be large.
+	expectedResponse int64
+	// lateAt is when the call becomes late unless it has started, zero if it has no target latency.
 	lateAt time.Duration
-	// version is what the caller's node says of a rollout, zero if none is under way.
-	version versionHint
-	// onItsWay is how much longer than others the call was on its way here.
-	onItsWay time.Duration
+	// hint is the caller's view of the rollout, zero if none is running.
+	hint versionHint
+	// transitDelay is how much longer the call took to arrive than the fastest recent one.
+	transitDelay time.Duration
 }
 
-func (r request) waiter() *waiter {
+func (req request) waiter() *waiter {
 	return &waiter{
-		lateAt: r.lateAt, late: r.late, priority: r.priority, work: r.work, deadline: r.deadline, version: r.version,
+		lateAt: req.lateAt, late: req.late, priority: req.priority, work: req.work, deadline: req.deadline, hint: req.hint,
 		admitted: make(chan struct{}), dropped: make(chan struct{}),
 	}
 }
 
-// admit waits for a free slot. It returns why there is none, if there is none.
-func (g *Gate) admit(ctx context.Context, r request) (admittance, exchange.Reason) {
+// admit waits for a free slot and returns it, or the reason why the call is rejected.
+func (g *Gate) admit(ctx context.Context, req request) (admission, exchange.Reason) {
 	g.mu.Lock()
 	now := g.config.Now()
-	if reason := g.mayEnter(now, r); reason != "" {
+	if reason := g.rejectReason(now, req); reason != "" {
 		g.mu.Unlock()
-		return admittance{}, reason
+		return admission{}, reason
 	}
-	g.noteCold(now)
-	g.probeIfUnsure(now)
-	if g.running < g.backend.Capacity && len(g.queue) == 0 && g.cold.openAt(now) <= now {
-		granted := g.grantCounted(now, r.work, r.version)
+	g.reportColdChange(now)
+	g.probeIfAssumed(now)
+	if g.running < g.backend.Capacity && len(g.queue) == 0 && g.cold.nextAdmission(now) <= now {
+		adm := g.takeCountedSlot(now, req.work, req.hint)
 		g.mu.Unlock()
-		return granted, ""
+		return adm, ""
 	}
-	w := r.waiter()
-	if g.expectedWait(now, w) > r.wait {
+	w := req.waiter()
+	if g.expectedWait(now, w) > req.wait {
 		reason := g.busyReason(now)
 		g.mu.Unlock()
-		return admittance{}, reason
+		return admission{}, reason
 	}
 	g.queue.add(w)
 	g.dispatch()
 	g.mu.Unlock()
-	return g.await(ctx, w, r)
+	return g.awaitAdmission(ctx, w, req)
 }
 
-// expectBody returns why a call's body need not be sent, or counts it as on its way: there is
-// no slot for it in the time that it may wait.
-func (g *Gate) expectBody(r request) exchange.Reason {
+// startReceiving counts a call whose body is about to be received, or returns why the call is
+// rejected, for instance because no slot is expected to become free within its wait.
+func (g *Gate) startReceiving(req request) exchange.Reason {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.config.Now()
-	if reason := g.mayEnter(now, r); reason != "" {
+	if reason := g.rejectReason(now, req); reason != "" {
 		return reason
 	}
-	queued := g.queue.ahead(r.waiter())
-	if g.cold.wait(now, g.receiving+queued) > r.wait {
+	queued := g.queue.ahead(req.waiter())
+	if g.cold.wait(now, g.receiving+queued) > req.wait {
 		return exchange.ReasonCold
 	}
 	ahead := max(0, g.running+g.receiving+1-g.backend.Capacity) + queued
-	if g.serviceTime()*time.Duration(ahead)/time.Duration(g.backend.Capacity) > r.wait {
+	if g.expectedServiceTime()*time.Duration(ahead)/time.Duration(g.backend.Capacity) > req.wait {
 		return exchange.ReasonFull
 	}
 	g.receiving++
 	return ""
 }
 
-// bodyReceived ends what expectBody began.
-func (g *Gate) bodyReceived() {
+// finishReceiving reverts the count of startReceiving.
+func (g *Gate) finishReceiving() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.receiving--
 }
 
-// mayEnter returns why a call is refused whatever the load; the mutex is held.
-func (g *Gate) mayEnter(now time.Duration, r request) exchange.Reason {
+// rejectReason returns why a call is rejected regardless of the load, empty if it is not. g.mu must
+// be held.
+func (g *Gate) rejectReason(now time.Duration, req request) exchange.Reason {
 	switch {
 	case g.stopping:
 		return exchange.ReasonStopping
-	case r.instance != "" && r.instance == g.left:
+	case req.instance != "" && req.instance == g.departedID:
 		return exchange.ReasonLeft
-	case !g.present || (r.instance != "" && r.instance != g.backend.ID):
+	case !g.present || (req.instance != "" && req.instance != g.backend.ID):
 		return exchange.ReasonAbsent
-	case g.closing.reason != "":
-		return g.closing.reason
-	case now < g.downUntil:
+	case g.closed.reason != "":
+		return g.closed.reason
+	case now < g.unreachableUntil:
 		return exchange.ReasonUnreachable
-	case now >= r.deadline:
+	case now >= req.deadline:
 		return exchange.ReasonDeadline
 	}
-	if g.unknownRollout(r.version) {
+	if g.unknownRollout(req.hint) {
 		return exchange.ReasonVersion
 	}
-	return g.refusesVersion(now)
+	return g.versionRejectReason(now)
 }
 
-// grant takes a slot; the mutex is held.
-func (g *Gate) grant(now, work time.Duration) admittance {
+// takeSlot takes a slot. g.mu must be held.
+func (g *Gate) takeSlot(now, work time.Duration) admission {
 	g.running++
-	g.cold.rate.note(now)
-	return admittance{backend: g.backend, work: work, generation: g.generation, at: now}
+	g.cold.rate.record(now)
+	return admission{backend: g.backend, work: work, generation: g.generation, admittedAt: now}
 }
 
-// expectedWait estimates how long a call would wait; the mutex is held.
+// expectedWait estimates how long a call would wait. g.mu must be held.
 func (g *Gate) expectedWait(now time.Duration, w *waiter) time.Duration {
 	ahead := g.queue.ahead(w)
 	cold := g.cold.wait(now, ahead)
 	if g.running < g.backend.Capacity && cold > 0 {
 		return cold
 	}
-	return max(cold, time.Duration(float64(g.serviceTime())*float64(ahead+1)/float64(g.backend.Capacity)))
+	return max(cold, time.Duration(float64(g.expectedServiceTime())*float64(ahead+1)/float64(g.backend.Capacity)))
 }
 
-func (g *Gate) serviceTime() time.Duration {
-	if g.service == 0 {
-		return firstService
+// expectedServiceTime returns the mean service time of recent calls. g.mu must be held.
+func (g *Gate) expectedServiceTime() time.Duration {
+	if g.serviceTime == 0 {
+		return initialServiceTime
 	}
-	return g.service
+	return g.serviceTime
 }
 
-// await waits until the call is admitted, dropped, out of patience or left by its caller.
-func (g *Gate) await(ctx context.Context, w *waiter, r request) (admittance, exchange.Reason) {
-	timer := time.NewTimer(r.wait)
+// awaitAdmission waits until the call is admitted, dropped, timed out or canceled by its caller.
+func (g *Gate) awaitAdmission(ctx context.Context, w *waiter, req request) (admission, exchange.Reason) {
+	timer := time.NewTimer(req.wait)
 	defer timer.Stop()
-	early := time.NewTimer(r.early)
+	early := time.NewTimer(req.earlyWait)
 	defer early.Stop()
 	reason := exchange.Reason("")
 	for waiting := true; waiting; {
 		select {
 		case <-w.admitted:
-			return w.granted, ""
+			return w.admission, ""
 		case <-w.dropped:
-			return admittance{}, w.reason
+			return admission{}, w.reason
 		case <-early.C:
-			waiting = r.early >= r.wait || g.hopeful(w, r.wait-r.early)
+			waiting = req.earlyWait >= req.wait || g.canStillBeAdmitted(w, req.wait-req.earlyWait)
 		case <-timer.C:
 			waiting = false
 		case <-ctx.Done():
@@ -270,95 +278,94 @@
 	}
 	g.mu.Unlock()
 	if stillWaiting {
-		return admittance{}, reason
+		return admission{}, reason
 	}
 	select {
 	case <-w.dropped:
-		return admittance{}, w.reason
+		return admission{}, w.reason
 	case <-w.admitted:
 	}
 	if ctx.Err() == nil {
-		return w.granted, ""
+		return w.admission, ""
 	}
-	g.release(w.granted, ending{})
-	return admittance{}, reason
+	g.release(w.admission, callResult{})
+	return admission{}, reason
 }
 
-// hopeful reports whether a waiter can still expect to be admitted in the time that is
-// left: if not, it is better told now than later.
-func (g *Gate) hopeful(w *waiter, left time.Duration) bool {
+// canStillBeAdmitted reports whether a queued call can expect admission within the time left.
+func (g *Gate) canStillBeAdmitted(w *waiter, left time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return time.Duration(hopeMargin*float64(g.expectedWait(g.config.Now(), w))) <= left
+	return time.Duration(expectedWaitMargin*float64(g.expectedWait(g.config.Now(), w))) <= left
 }
 
-// ending is what the end of a call says of the back end.
-type ending struct {
-	// service is how long the call took, zero if that says nothing.
-	service time.Duration
-	failed  bool
+// callResult is what a finished call reveals about the back end.
+type callResult struct {
+	// serviceTime is how long the call took, zero if it is not representative.
+	serviceTime time.Duration
+	failed      bool
 }
 
-// hung reports whether a call that ended without an answer had its whole time, and enough
-// of it at the back end, so that it was the back end that did not answer.
-func (g *Gate) hung(a admittance, deadline time.Duration) bool {
+// hung reports whether a call without a response had reached its deadline and spent several service
+// times at the back end, so that the back end is at fault.
+func (g *Gate) hung(adm admission, deadline time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.config.Now()
-	return now >= deadline && now-a.at >= hangServices*g.serviceTime()
+	return now >= deadline && now-adm.admittedAt >= hangServiceTimes*g.expectedServiceTime()
 }
 
-// release gives a slot back, and to the next waiter.
-func (g *Gate) release(a admittance, end ending) {
+// release frees a slot, records the result and admits queued calls.
+func (g *Gate) release(adm admission, result callResult) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if a.generation != g.generation {
+	if adm.generation != g.generation {
 		return
 	}
 	g.running--
-	if a.repeat {
+	if adm.retry {
 		g.retries--
 	}
-	a.counted.ended(end, g.cold.remaining(g.config.Now()) > 0)
-	if end.failed || end.service > 0 {
-		g.health.note(g.config.Now(), end.failed)
+	adm.tallyEntry.finish(result, g.cold.remaining(g.config.Now()) > 0)
+	if result.failed || result.serviceTime > 0 {
+		g.health.record(g.config.Now(), result.failed)
 	}
-	if end.service > 0 {
-		if g.service == 0 {
-			g.service = end.service
+	if result.serviceTime > 0 {
+		if g.serviceTime == 0 {
+			g.serviceTime = result.serviceTime
 		}
-		g.service += time.Duration(serviceWeight * float64(end.service-g.service))
-		g.pace.note(a.work, end.service)
+		g.serviceTime += time.Duration(serviceTimeWeight * float64(result.serviceTime-g.serviceTime))
+		g.slowdown.record(adm.work, result.serviceTime)
 	}
-	g.noteQuiet()
+	g.reportDrained()
 	g.dispatch()
 }
 
-// markDown notes that the back end took no connection.
-func (g *Gate) markDown(a admittance) {
+// markUnreachable starts the backoff after a failed connection.
+func (g *Gate) markUnreachable(adm admission) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if a.generation == g.generation {
+	if adm.generation == g.generation {
 		now := g.config.Now()
-		g.downUntil = now + downPause
+		g.unreachableUntil = now + unreachableBackoff
 		g.cold.assume(now)
-		g.noteCold(now)
+		g.reportColdChange(now)
 	}
 }
 
-// Report describes the load.
+// Report returns the current load of the gate and the state of its back end.
 func (g *Gate) Report() exchange.Report {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.report()
 }
 
-// report is Report; the mutex is held.
+// report implements Report. g.mu must be held.
 func (g *Gate) report() exchange.Report {
 	now := g.config.Now()
-	g.noteCold(now)
+	g.reportColdChange(now)
 	return exchange.Report{
 		Running: g.running, Queued: len(g.queue) + g.receiving, Capacity: max(1, g.backend.Capacity),
-		Service: g.service, Failing: g.health.failing(now), Cold: g.coldReport(now), LinkWait: g.reportedLinkWait(),
+		Service: g.serviceTime, Failing: g.health.failing(now), Cold: g.coldReport(now), LinkWait: g.reportedLinkWait(),
 	}
 }
--- a/pkg/gate/body.go
+++ b/pkg/gate/body.go
@@ -6,48 +6,48 @@
 	"net/http"
 )
 
-// heldBody is a body that was read whole.
-type heldBody struct {
+// bufferedBody is a response body that was read completely.
+type bufferedBody struct {
 	*bytes.Reader
 	release func()
 }
 
 // Close implements io.Closer.
-func (b heldBody) Close() error {
+func (b bufferedBody) Close() error {
 	b.release()
 	return nil
 }
 
-// closingBody tells when an answer that is passed on piece by piece is done.
-type closingBody struct {
+// notifyingBody calls onClose when a streamed response body is closed.
+type notifyingBody struct {
 	io.ReadCloser
-	finish func()
+	onClose func()
 }
 
 // Close implements io.Closer.
-func (b *closingBody) Close() error {
+func (b *notifyingBody) Close() error {
 	err := b.ReadCloser.Close()
-	b.finish()
+	b.onClose()
 	return err
 }
 
-// holdWhole reads an answer whole if it is not too long, so that one which is cut off is
-// found out before any of it is passed on.
-func (g *Gate) holdWhole(response *http.Response) error {
+// bufferResponse reads a response completely if it fits into the buffer, so that a truncated
+// response is detected before any of it is forwarded. Larger ones are streamed.
+func (g *Gate) bufferResponse(response *http.Response) error {
 	data, rest, release, err := g.config.AnswerBuffer.ReadWhole(response)
 	if err != nil {
 		response.Body.Close()
 		return err
 	}
 	if rest != nil {
-		response.Body = &closingBody{ReadCloser: struct {
+		response.Body = &notifyingBody{ReadCloser: struct {
 			io.Reader
 			io.Closer
-		}{io.MultiReader(bytes.NewReader(data), rest), response.Body}, finish: release}
+		}{io.MultiReader(bytes.NewReader(data), rest), response.Body}, onClose: release}
 		return nil
 	}
 	response.Body.Close()
-	response.Body = heldBody{bytes.NewReader(data), release}
+	response.Body = bufferedBody{bytes.NewReader(data), release}
 	if response.Request == nil || response.Request.Method != http.MethodHead {
 		response.ContentLength = int64(len(data))
 	}
--- a/pkg/gate/closing.go
+++ b/pkg/gate/closing.go
@@ -7,31 +7,32 @@
 	"bramblelift/pkg/exchange"
 )
 
-// ClosingChange tells that orders have closed the gate to new calls, or opened it again, for logs and metrics.
+// ClosingChange describes for logs and metrics how orders closed the gate, or opened it again.
 type ClosingChange struct {
 	Backend string
-	// Reason is why the gate is closed, empty once it is open again.
+	// Reason is why the gate is closed, empty when it opens.
 	Reason exchange.Reason
-	// Dropped are the calls that waited and were refused, Running those that go on to their end.
+	// Dropped is the number of queued calls that were rejected, Running the number of calls still
+	// in flight.
 	Dropped int
 	Running int
-	// Quiet is set once the last running call has ended. Took is the time since the gate was closed, zero
-	// when it closes.
+	// Quiet is set when the last running call of a closed gate has finished. Took is the time since
+	// the gate closed, zero for the closing itself.
 	Quiet bool
 	Took  time.Duration
 }
 
-// closing is the state of a gate that orders have closed.
-type closing struct {
+// closedState describes a gate that orders have closed.
+type closedState struct {
 	// reason is empty while the gate is open.
 	reason exchange.Reason
 	at     time.Duration
-	// quiet is set once no call runs behind the closed gate any more.
-	quiet bool
+	// drained is set once no call is running.
+	drained bool
 }
 
-// SetRules takes in what the node's state says of who may take calls. A gate that was not told yet lets
-// calls in: nodes that send them know the rules.
+// SetRules sets the eligibility rules and closes or opens the gate accordingly. A gate without
+// rules is open, since the callers' nodes apply the rules too.
 func (g *Gate) SetRules(rules *eligibility.Rules) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -41,50 +42,50 @@
 	}
 }
 
-// Closed returns why orders have closed the gate, empty if they have not.
+// Closed returns why orders have closed the gate, empty if it is open or has no back end.
 func (g *Gate) Closed() exchange.Reason {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.present {
 		return ""
 	}
-	return g.closing.reason
+	return g.closed.reason
 }
 
-// applyRules closes the gate, or opens it again, as the rules say of the present back end. What is at
-// work is finished. The back end's version is left out: refusesVersion decides on that for each call. The
-// mutex is held.
+// applyRules closes or opens the gate as the rules require for its back end. Running calls may
+// finish. The version is left out, since versionRejectReason checks it for each call. g.mu must be
+// held.
 func (g *Gate) applyRules() {
 	reason := g.rules.Refuses(eligibility.Backend{Service: g.backend.Service, Zone: g.backend.Zone})
-	before := g.closing
-	if reason == before.reason {
+	previous := g.closed
+	if reason == previous.reason {
 		return
 	}
 	now := g.config.Now()
 	if reason == "" {
-		g.closing = closing{}
-		g.tellClosing(ClosingChange{Took: now - before.at})
+		g.closed = closedState{}
+		g.reportClosing(ClosingChange{Took: now - previous.at})
 		g.assumeCold(now)
 		return
 	}
-	g.closing = closing{reason: reason, at: now}
+	g.closed = closedState{reason: reason, at: now}
 	dropped := len(g.queue)
 	g.dropWaiting(reason)
-	g.tellClosing(ClosingChange{Reason: reason, Dropped: dropped})
-	g.noteQuiet()
+	g.reportClosing(ClosingChange{Reason: reason, Dropped: dropped})
+	g.reportDrained()
 }
 
-// noteQuiet tells once that nothing is at work any more behind a closed gate; the mutex is held.
-func (g *Gate) noteQuiet() {
-	if g.closing.reason == "" || g.closing.quiet || g.running > 0 {
+// reportDrained reports once that a closed gate has no running calls left. g.mu must be held.
+func (g *Gate) reportDrained() {
+	if g.closed.reason == "" || g.closed.drained || g.running > 0 {
 		return
 	}
-	g.closing.quiet = true
-	g.tellClosing(ClosingChange{Reason: g.closing.reason, Quiet: true, Took: g.config.Now() - g.closing.at})
+	g.closed.drained = true
+	g.reportClosing(ClosingChange{Reason: g.closed.reason, Quiet: true, Took: g.config.Now() - g.closed.at})
 }
 
-// tellClosing passes on what happened; the mutex is held.
-func (g *Gate) tellClosing(c ClosingChange) {
+// reportClosing passes a change to the OnClosing callback. g.mu must be held.
+func (g *Gate) reportClosing(c ClosingChange) {
 	if g.config.OnClosing == nil {
 		return
 	}
--- a/pkg/gate/closing_test.go
+++ b/pkg/gate/closing_test.go
@@ -20,31 +20,31 @@
 	return eligibility.New(table, nil)
 }
 
-// closings collects what a gate tells of its closings.
-type closings struct{ told []ClosingChange }
+// closingRecorder collects the closing changes that a gate reports.
+type closingRecorder struct{ changes []ClosingChange }
 
-func (c *closings) take(closing ClosingChange) { c.told = append(c.told, closing) }
+func (c *closingRecorder) record(closing ClosingChange) { c.changes = append(c.changes, closing) }
 
-// zoneGate is a gate of zone a with a back end that works on one call at once.
-func zoneGate(now *time.Duration, c *closings) *Gate {
-	g := New(Config{Now: func() time.Duration { return *now }, OnClosing: c.take})
+// newGateInZoneA returns a gate in zone a whose back end has a capacity of one call.
+func newGateInZoneA(now *time.Duration, c *closingRecorder) *Gate {
+	g := New(Config{Now: func() time.Duration { return *now }, OnClosing: c.record})
 	g.SetBackend(Backend{ID: "i1", Capacity: 1, Zone: "a"})
 	return g
 }
 
-func (g *Gate) admitOne() (admittance, exchange.Reason) {
-	return g.admit(context.Background(), request{instance: "i1", deadline: time.Hour, wait: time.Minute, early: time.Minute})
+func (g *Gate) admitOne() (admission, exchange.Reason) {
+	return g.admit(context.Background(), request{instance: "i1", deadline: time.Hour, wait: time.Minute, earlyWait: time.Minute})
 }
 
-// What waits is let go and what is new refused, with the reason that sends them elsewhere; what is at work
-// is finished and then told.
-func TestEvacuatedGateFinishesWhatItHasAndTakesNothingNew(t *testing.T) {
+// Closing a gate must reject queued and new calls with the evacuation as the reason, and report
+// when the running call has finished.
+func TestEvacuatedGateFinishesRunningCallsAndRejectsNewOnes(t *testing.T) {
 	is := is.New(t)
-	now, told := time.Duration(0), closings{}
-	g := zoneGate(&now, &told)
+	now, recorder := time.Duration(0), closingRecorder{}
+	g := newGateInZoneA(&now, &recorder)
 	g.SetRules(evacuated("b"))
-	is.Equal(len(told.told), 0) // another zone
-	atWork, reason := g.admitOne()
+	is.Equal(len(recorder.changes), 0) // only another zone is evacuated
+	running, reason := g.admitOne()
 	is.Equal(reason, exchange.Reason(""))
 	waited := make(chan exchange.Reason, 1)
 	go func() {
@@ -58,54 +58,55 @@
 	is.Equal(<-waited, exchange.ReasonEvacuated)
 	_, reason = g.admitOne()
 	is.Equal(reason, exchange.ReasonEvacuated)
-	is.Equal(g.expectBody(request{instance: "i1", deadline: time.Hour}), exchange.ReasonEvacuated)
+	is.Equal(g.startReceiving(request{instance: "i1", deadline: time.Hour}), exchange.ReasonEvacuated)
 	is.Equal(g.Closed(), exchange.ReasonEvacuated)
-	is.Equal(g.Sender(), "") // nobody is told that it has room
+	is.Equal(g.Sender(), "") // a closed gate does not advertise free capacity
 	now = 3 * time.Second
-	g.release(atWork, ending{service: time.Second})
-	is.Equal(told.told, []ClosingChange{
+	g.release(running, callResult{serviceTime: time.Second})
+	is.Equal(recorder.changes, []ClosingChange{
 		{Backend: "i1", Reason: exchange.ReasonEvacuated, Dropped: 1, Running: 1},
 		{Backend: "i1", Reason: exchange.ReasonEvacuated, Quiet: true, Took: 3 * time.Second},
 	})
-	g.SetRules(evacuated("a")) // other orders change: no news for this gate
-	is.Equal(len(told.told), 2)
+	g.SetRules(evacuated("a")) // orders for other zones are not reported
+	is.Equal(len(recorder.changes), 2)
 	now = 5 * time.Second
 	g.SetRules(evacuated())
-	is.Equal(told.told[2], ClosingChange{Backend: "i1", Took: 5 * time.Second})
+	is.Equal(recorder.changes[2], ClosingChange{Backend: "i1", Took: 5 * time.Second})
 	_, reason = g.admitOne()
 	is.Equal(reason, exchange.Reason(""))
 }
 
-// A back end that starts in an evacuated zone, or takes another's place there, gets nothing either.
-func TestBackendsThatComeToAnEvacuatedZone(t *testing.T) {
+// A back end that starts in an evacuated zone, or replaces another one there, must not receive
+// calls.
+func TestBackendStartingInEvacuatedZoneIsClosed(t *testing.T) {
 	is := is.New(t)
-	now, told := time.Duration(0), closings{}
-	g := New(Config{Now: func() time.Duration { return now }, OnClosing: told.take})
+	now, recorder := time.Duration(0), closingRecorder{}
+	g := New(Config{Now: func() time.Duration { return now }, OnClosing: recorder.record})
 	g.SetRules(evacuated("a"))
-	is.Equal(g.Closed(), exchange.Reason("")) // there is none
+	is.Equal(g.Closed(), exchange.Reason("")) // there is no back end
 	g.SetBackend(Backend{ID: "i1", Capacity: 1, Zone: "a"})
 	_, reason := g.admitOne()
 	is.Equal(reason, exchange.ReasonEvacuated)
 	g.SetBackend(Backend{ID: "i2", Capacity: 1, Zone: "a"})
 	is.Equal(g.Closed(), exchange.ReasonEvacuated)
 	_, reason = g.admitOne()
-	is.Equal(reason, exchange.ReasonLeft) // i1 is gone for good: that goes first
-	g.RemoveBackend("i2")                 // drains beside the evacuation
+	is.Equal(reason, exchange.ReasonLeft) // i1 has left: that reason takes precedence
+	g.RemoveBackend("i2")                 // i2 drains during the evacuation
 	is.Equal(g.Closed(), exchange.Reason(""))
-	g.SetBackend(Backend{ID: "i3", Capacity: 1, Zone: "b"}) // it says that it runs elsewhere
+	g.SetBackend(Backend{ID: "i3", Capacity: 1, Zone: "b"}) // i3 runs in another zone
 	is.Equal(g.Closed(), exchange.Reason(""))
 }
 
-// A gate that was started again does not know the orders at first; its node's state tells it.
-func TestGateStartedAgainInMidEvacuation(t *testing.T) {
+// A restarted gate that admits calls before it knows the orders must close once it gets them.
+func TestGateRestartedDuringEvacuationCloses(t *testing.T) {
 	is := is.New(t)
-	now, told := time.Duration(0), closings{}
-	g := zoneGate(&now, &told)
-	granted, reason := g.admitOne()
+	now, recorder := time.Duration(0), closingRecorder{}
+	g := newGateInZoneA(&now, &recorder)
+	adm, reason := g.admitOne()
 	is.Equal(reason, exchange.Reason(""))
 	g.SetRules(evacuated("a"))
 	_, reason = g.admitOne()
 	is.Equal(reason, exchange.ReasonEvacuated)
-	g.release(granted, ending{})
-	is.True(told.told[len(told.told)-1].Quiet)
+	g.release(adm, callResult{})
+	is.True(recorder.changes[len(recorder.changes)-1].Quiet)
 }
--- a/pkg/gate/cold.go
+++ b/pkg/gate/cold.go
@@ -2,146 +2,148 @@
 
 import "time"
 
-// ColdBounds say what a back end bears while it is cold.
+// ColdBounds configures how a back end is protected while it is cold.
 type ColdBounds struct {
-	// Start is for how long a back end is cold after its start, zero if it never is.
+	// Start is how long a back end is cold after its start, zero for never.
 	Start time.Duration
-	// Rate is how many calls a second a cold one bears, zero for no bound.
+	// Rate is the number of calls per second that a cold back end sustains, zero for no limit.
 	Rate float64
-	// HealthPath is where a back end says whether it is cold, empty for nowhere.
+	// HealthPath is the URL path where the back end reports whether it is cold, empty for none.
 	HealthPath string
 }
 
-// ColdSource is how a gate knows whether its back end is cold.
+// ColdSource is the origin of the gate's knowledge of whether its back end is cold.
 type ColdSource string
 
 const (
-	// ColdAssumed: the back end is new to the gate or was away, and has not said yet.
+	// ColdAssumed means that the back end is new or was unreachable, and has not reported its state
+	// yet.
 	ColdAssumed ColdSource = "assumed"
-	// ColdHeartbeat: the back end's heartbeat said so.
+	// ColdHeartbeat means that a heartbeat of the back end reported the state.
 	ColdHeartbeat ColdSource = "heartbeat"
-	// ColdHealth: the answer of its health path said so.
+	// ColdHealth means that the response of the health path reported the state.
 	ColdHealth ColdSource = "health"
-	// ColdElapsed: the time that was left has passed.
+	// ColdElapsed means that the reported or assumed cold period has passed.
 	ColdElapsed ColdSource = "elapsed"
 )
 
 const (
-	// heartbeatDelay is how long a heartbeat may be on its way: its sender gives it up after a second.
-	// One that comes sooner after the back end was away may have been sent before.
+	// heartbeatDelay is the longest time a heartbeat may be in transit: its sender times out after
+	// a second. A heartbeat that arrives sooner after a failure may predate it.
 	heartbeatDelay = time.Second
-	// probeInterval is the least time between two probes of the health path of a back end that does not
-	// answer.
+	// probeInterval is the minimum time between two probes of a health path that does not respond.
 	probeInterval = 300 * time.Millisecond
-	// coldShare of the rate that a cold back end bears is let in. It falls over only with well more, and
-	// in a fleet that is cold as a whole each call that fits counts.
-	coldShare = 1.25
-	// unknownColdRate is kept, in calls a second, for a back end that says that it is cold before the
-	// configuration is here: less than any service is known to bear.
-	unknownColdRate = 5
+	// coldRateFactor scales the configured cold rate. Cold back ends crash only well above that
+	// rate, and the excess admits more calls while all back ends are cold.
+	coldRateFactor = 1.25
+	// defaultColdRate, in calls per second, applies to a back end that reports that it is cold
+	// before the configuration is known. It is below the rate of any known service.
+	defaultColdRate = 5
 )
 
-// coldness is what a gate knows of how cold its back end is, and the rate that it keeps for that. It
-// does no I/O and reads no clock. Its zero value is warm.
-type coldness struct {
+// coldState tracks whether the back end is cold and limits its rate of calls meanwhile. It does no
+// I/O and reads no clock. The zero value is warm.
+type coldState struct {
 	bounds ColdBounds
 	// configured is set once the bounds are known.
 	configured bool
 	rate       slidingRate
-	// until is when the back end is warm, as source says.
+	// until is when the back end becomes warm according to source.
 	until  time.Duration
 	source ColdSource
-	// told is the time that was left when it was told.
-	told time.Duration
-	// unsure is set from an assumption until the back end says itself; trustFrom is from when on a
-	// heartbeat that says that it is warm was sent after the assumption.
-	unsure    bool
-	trustFrom time.Duration
-	// doubts counts the assumptions: what was asked before one does not answer it.
-	doubts uint64
-	// probing is set while a probe of the health path is under way, nextProbe is when the next may start.
+	// lastRemaining is the remaining cold period as of the last update.
+	lastRemaining time.Duration
+	// assumed is set while the state is an assumption that the back end has not confirmed.
+	// Heartbeats that arrive before trustHeartbeatFrom cannot shorten the cold period.
+	assumed            bool
+	trustHeartbeatFrom time.Duration
+	// assumptions counts the assumptions, to discard responses to probes that started before the
+	// latest.
+	assumptions uint64
+	// probing is set while a probe of the health path is in flight; nextProbe is the earliest start
+	// of the next one.
 	probing   bool
 	nextProbe time.Duration
 }
 
-// setBounds takes in the configuration.
-func (c *coldness) setBounds(now time.Duration, bounds ColdBounds) {
+// setBounds applies the configuration.
+func (c *coldState) setBounds(now time.Duration, bounds ColdBounds) {
 	first := !c.configured
 	c.bounds, c.configured = bounds, true
-	c.rate.setRate(bounds.Rate * coldShare)
-	if c.unsure && first {
-		c.until, c.told = now+bounds.Start, bounds.Start
+	c.rate.setRate(bounds.Rate * coldRateFactor)
+	if c.assumed && first {
+		c.until, c.lastRemaining = now+bounds.Start, bounds.Start
 	}
 }
 
-// assume takes the back end for cold until it says otherwise: it may have started anew. A heartbeat
-// that is on its way may be from before.
-func (c *coldness) assume(now time.Duration) {
+// assume treats the back end as cold until it reports otherwise, since it may have restarted.
+// Heartbeats already in transit may predate the restart and are not trusted.
+func (c *coldState) assume(now time.Duration) {
 	c.assumeNew(now)
-	c.trustFrom = now + heartbeatDelay
+	c.trustHeartbeatFrom = now + heartbeatDelay
 }
 
-// assumeNew is assume for a back end that the gate did not know: whatever it says, it has said since.
-func (c *coldness) assumeNew(now time.Duration) {
+// assumeNew is assume for a new back end, all of whose heartbeats are trusted.
+func (c *coldState) assumeNew(now time.Duration) {
 	c.until = max(c.until, now+c.bounds.Start)
-	c.source, c.told = ColdAssumed, c.until-now
-	c.unsure, c.trustFrom = true, now
-	c.doubts++
+	c.source, c.lastRemaining = ColdAssumed, c.until-now
+	c.assumed, c.trustHeartbeatFrom = true, now
+	c.assumptions++
 }
 
-// learn takes in what the back end said of itself.
-func (c *coldness) learn(now, remaining time.Duration, source ColdSource) {
+// update applies the state that the back end reported.
+func (c *coldState) update(now, remaining time.Duration, source ColdSource) {
 	until := now + remaining
-	if source == ColdHeartbeat && until < c.until && now < c.trustFrom {
+	if source == ColdHeartbeat && until < c.until && now < c.trustHeartbeatFrom {
 		return
 	}
 	if source == ColdHealth {
-		// The next heartbeat may have been sent before this answer.
-		c.trustFrom = max(c.trustFrom, now+heartbeatDelay)
+		// The next heartbeat may have been sent before this response.
+		c.trustHeartbeatFrom = max(c.trustHeartbeatFrom, now+heartbeatDelay)
 	}
-	c.until, c.source, c.told, c.unsure = until, source, remaining, false
+	c.until, c.source, c.lastRemaining, c.assumed = until, source, remaining, false
 	if !c.configured && remaining > 0 {
-		c.rate.setRate(unknownColdRate)
+		c.rate.setRate(defaultColdRate)
 	}
 }
 
-// sourceAt is how it is known that the back end is cold or warm now.
-func (c *coldness) sourceAt(now time.Duration) ColdSource {
-	if c.until <= now && c.told > 0 {
+// sourceAt returns the origin of the state at now.
+func (c *coldState) sourceAt(now time.Duration) ColdSource {
+	if c.until <= now && c.lastRemaining > 0 {
 		return ColdElapsed
 	}
 	return c.source
 }
 
-// remaining is for how much longer the back end is cold, zero if it is warm.
-func (c *coldness) remaining(now time.Duration) time.Duration { return max(0, c.until-now) }
+// remaining returns how much longer the back end is cold, zero if it is warm.
+func (c *coldState) remaining(now time.Duration) time.Duration { return max(0, c.until-now) }
 
-// limited reports whether the rate is kept now.
-func (c *coldness) limited(now time.Duration) bool {
-	return c.until > now && c.rate.bounded()
+// limited reports whether the rate limit applies at now.
+func (c *coldState) limited(now time.Duration) bool {
+	return c.until > now && c.rate.limited()
 }
 
-// openAt is from when on the next call may be let in.
-func (c *coldness) openAt(now time.Duration) time.Duration {
+// nextAdmission returns the earliest time at which the next call may be admitted.
+func (c *coldState) nextAdmission(now time.Duration) time.Duration {
 	if !c.limited(now) {
 		return now
 	}
-	return max(now, min(c.rate.openAt(), c.until))
+	return max(now, min(c.rate.nextAdmission(), c.until))
 }
 
-// wait is how long a call waits for the rate that so many others go before. Those that are not let in
-// until the back end is warm are then.
-func (c *coldness) wait(now time.Duration, ahead int) time.Duration {
+// wait estimates how long a call waits for the rate limit with ahead calls before it. The limit
+// ends when the back end is warm.
+func (c *coldState) wait(now time.Duration, ahead int) time.Duration {
 	if !c.limited(now) {
 		return 0
 	}
-	wait := c.openAt(now) - now + time.Duration(ahead)*c.rate.interval()
+	wait := c.nextAdmission(now) - now + time.Duration(ahead)*c.rate.interval()
 	return min(wait, c.until-now)
 }
 
-// startProbe reports whether a probe of the health path is due, and counts it as under way then.
-func (c *coldness) startProbe(now time.Duration) bool {
-	due := c.unsure && c.until > now && c.bounds.HealthPath != "" && !c.probing && now >= c.nextProbe
+// startProbe reports whether a probe of the health path is due, and marks it as started if so.
+func (c *coldState) startProbe(now time.Duration) bool {
+	due := c.assumed && c.until > now && c.bounds.HealthPath != "" && !c.probing && now >= c.nextProbe
 	if due {
 		c.probing, c.nextProbe = true, now+probeInterval
 	}
--- a/pkg/gate/cold_test.go
+++ b/pkg/gate/cold_test.go
@@ -9,60 +9,61 @@
 
 var testBounds = ColdBounds{Start: 3 * time.Second, Rate: 14, HealthPath: "/health"}
 
-func newColdness() coldness {
-	var c coldness
+func newColdState() coldState {
+	var c coldState
 	c.setBounds(0, testBounds)
 	return c
 }
 
-func TestNewBackEndIsColdUntilItSays(t *testing.T) {
+func TestNewBackendIsColdUntilItReportsItsState(t *testing.T) {
 	is := is.New(t)
-	c := newColdness()
+	c := newColdState()
 	c.assumeNew(time.Second)
 	is.Equal(c.remaining(time.Second), 3*time.Second)
 	is.True(c.limited(time.Second))
 	is.True(c.startProbe(time.Second))
-	is.True(!c.startProbe(time.Second)) // one is under way
-	c.learn(1100*time.Millisecond, 0, ColdHealth)
+	is.True(!c.startProbe(time.Second)) // one is in flight
+	c.update(1100*time.Millisecond, 0, ColdHealth)
 	is.True(!c.limited(1100 * time.Millisecond))
 	is.Equal(c.sourceAt(1100*time.Millisecond), ColdHealth)
 	c.probing = false
-	is.True(!c.startProbe(10 * time.Second)) // known is known
+	is.True(!c.startProbe(10 * time.Second)) // the state is known
 }
 
-func TestHeartbeatOfANewBackEndIsBelieved(t *testing.T) {
+func TestHeartbeatOfNewBackendIsAccepted(t *testing.T) {
 	is := is.New(t)
-	c := newColdness()
+	c := newColdState()
 	c.assumeNew(time.Second)
-	c.learn(time.Second, 0, ColdHeartbeat)
+	c.update(time.Second, 0, ColdHeartbeat)
 	is.True(!c.limited(time.Second))
-	c.learn(4*time.Second, 2*time.Second, ColdHeartbeat) // cold again without a word before
+	c.update(4*time.Second, 2*time.Second, ColdHeartbeat) // turns cold again without a failed call
 	is.Equal(c.remaining(4*time.Second), 2*time.Second)
 	is.Equal(c.sourceAt(4*time.Second), ColdHeartbeat)
 	is.True(!c.limited(6 * time.Second))
 	is.Equal(c.sourceAt(6*time.Second), ColdElapsed)
 }
 
-// A heartbeat that was sent before the back end was away says nothing of how it came back.
-func TestLateHeartbeatDoesNotWarm(t *testing.T) {
+// A heartbeat that was sent before the back end failed must not mark it warm afterwards.
+func TestStaleHeartbeatDoesNotMarkBackendWarm(t *testing.T) {
 	is := is.New(t)
-	c := newColdness()
-	c.learn(0, 0, ColdHeartbeat)
+	c := newColdState()
+	c.update(0, 0, ColdHeartbeat)
 	c.assume(time.Second)
-	c.learn(1900*time.Millisecond, 0, ColdHeartbeat)
+	c.update(1900*time.Millisecond, 0, ColdHeartbeat)
 	is.True(c.limited(1900 * time.Millisecond))
 	is.True(c.startProbe(1900 * time.Millisecond))
-	c.learn(2000*time.Millisecond, 2500*time.Millisecond, ColdHealth)
-	c.learn(2100*time.Millisecond, 0, ColdHeartbeat)
+	c.update(2000*time.Millisecond, 2500*time.Millisecond, ColdHealth)
+	c.update(2100*time.Millisecond, 0, ColdHeartbeat)
 	is.Equal(c.remaining(2100*time.Millisecond), 2400*time.Millisecond)
-	c.learn(3500*time.Millisecond, 500*time.Millisecond, ColdHeartbeat) // sent since
+	c.update(3500*time.Millisecond, 500*time.Millisecond, ColdHeartbeat) // sent after the assumption
 	is.Equal(c.remaining(3500*time.Millisecond), 500*time.Millisecond)
 }
 
-// Health is asked again at intervals while it does not answer, and an assumption ends by itself.
-func TestSilentHealthPath(t *testing.T) {
+// The health path must be probed again at intervals while it does not respond, and the assumed cold
+// period must end by itself.
+func TestHealthPathIsProbedAgainUntilItResponds(t *testing.T) {
 	is := is.New(t)
-	c := newColdness()
+	c := newColdState()
 	c.assume(0)
 	is.True(c.startProbe(0))
 	c.probing = false
@@ -73,47 +74,47 @@
 	is.True(!c.limited(testBounds.Start))
 }
 
-// The bounds may come after the back end.
-func TestBoundsAfterTheBackEnd(t *testing.T) {
+// Cold bounds that arrive after the back end must apply to it.
+func TestColdBoundsMayBeSetAfterTheBackend(t *testing.T) {
 	is := is.New(t)
-	var unsure coldness
-	unsure.assumeNew(0)
-	is.True(!unsure.limited(0))
-	unsure.setBounds(time.Second, testBounds)
-	is.True(unsure.limited(time.Second))
-	is.Equal(unsure.remaining(time.Second), testBounds.Start)
+	var assumed coldState
+	assumed.assumeNew(0)
+	is.True(!assumed.limited(0))
+	assumed.setBounds(time.Second, testBounds)
+	is.True(assumed.limited(time.Second))
+	is.Equal(assumed.remaining(time.Second), testBounds.Start)
 
-	var told coldness
-	told.assumeNew(0)
-	told.learn(0, 2*time.Second, ColdHeartbeat)
-	is.True(told.limited(0)) // it is cold, and what it bears is not known yet
-	is.Equal(len(told.rate.starts), unknownColdRate)
-	told.setBounds(time.Second, testBounds)
-	is.Equal(told.remaining(time.Second), time.Second)
-	is.Equal(len(told.rate.starts), int(testBounds.Rate*coldShare))
+	var reported coldState
+	reported.assumeNew(0)
+	reported.update(0, 2*time.Second, ColdHeartbeat)
+	is.True(reported.limited(0)) // it is cold, but its rate is not configured yet
+	is.Equal(len(reported.rate.admissions), defaultColdRate)
+	reported.setBounds(time.Second, testBounds)
+	is.Equal(reported.remaining(time.Second), time.Second)
+	is.Equal(len(reported.rate.admissions), int(testBounds.Rate*coldRateFactor))
 }
 
-// A service without a rate is slow while cold, but not bound.
-func TestColdWithoutRate(t *testing.T) {
+// A service without a cold rate must not be limited while it is cold.
+func TestColdBackendWithoutRateIsNotLimited(t *testing.T) {
 	is := is.New(t)
-	var c coldness
+	var c coldState
 	c.setBounds(0, ColdBounds{Start: time.Second})
-	c.learn(0, time.Second, ColdHeartbeat)
+	c.update(0, time.Second, ColdHeartbeat)
 	is.Equal(c.remaining(0), time.Second)
 	is.True(!c.limited(0))
 	is.Equal(c.wait(0, 100), time.Duration(0))
 }
 
-// The wait for the rate grows with those before, but ends when the back end is warm.
-func TestWaitForTheRate(t *testing.T) {
+// The estimated wait must grow with the calls ahead but end when the back end is warm.
+func TestWaitForColdRateEndsWhenWarm(t *testing.T) {
 	is := is.New(t)
-	c := newColdness()
-	c.learn(0, time.Second, ColdHealth)
+	c := newColdState()
+	c.update(0, time.Second, ColdHealth)
 	is.Equal(c.wait(0, 0), time.Duration(0))
 	is.Equal(c.wait(0, 3), 3*c.rate.interval())
 	is.Equal(c.wait(0, 1000), time.Second)
-	for range cap(c.rate.starts) {
-		c.rate.note(0)
+	for range cap(c.rate.admissions) {
+		c.rate.record(0)
 	}
-	is.Equal(c.openAt(0), time.Second)
+	is.Equal(c.nextAdmission(0), time.Second)
 }
--- a/pkg/gate/ended_test.go
+++ b/pkg/gate/crash_test.go
@@ -15,19 +15,20 @@
 	"github.com/matryer/is"
 )
 
-// dyingBackend takes one call on each connection. Once it has as many as it waits for, it closes
-// all their connections, and if it ends also its listener.
-func dyingBackend(t *testing.T, waitsFor int, ends bool) string {
+// crashingBackend takes one call on each connection. After the given number of calls it closes all
+// connections and, if crash is set, first its listener.
+func crashingBackend(t *testing.T, calls int, crash bool) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
 	t.Cleanup(func() { listener.Close() })
-	var got sync.WaitGroup
-	got.Add(waitsFor)
-	// Whoever comes second waits until the listener is closed: a second Close returns while the first goes on.
+	var received sync.WaitGroup
+	received.Add(calls)
+	// OnceFunc makes every connection wait until the listener is closed; a concurrent second Close
+	// would return early.
 	closeListener := sync.OnceFunc(func() { listener.Close() })
 	go func() {
-		for range waitsFor {
+		for range calls {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
@@ -38,10 +39,10 @@
 				if err == nil {
 					_, _ = io.Copy(io.Discard, request.Body)
 				}
-				got.Done()
-				got.Wait()
-				// A process that ends closes its listener, which is its oldest socket, first.
-				if ends {
+				received.Done()
+				received.Wait()
+				// A crashing process closes its listener, its oldest socket, first.
+				if crash {
 					closeListener()
 				}
 			}()
@@ -50,11 +51,11 @@
 	return listener.Addr().String()
 }
 
-// An operator who looks at a broken call must see whether its back end ended under it, and know the
-// request again when it comes under another ID.
-func TestEndOfBackEndIsToldFromBrokenAnswer(t *testing.T) {
+// A call whose back end crashed must be distinguished from one whose connection broke, and have the
+// same fingerprint under another request ID.
+func TestCrashIsDistinguishedFromBrokenResponse(t *testing.T) {
 	for name, c := range map[string]struct {
-		ends   bool
+		crash  bool
 		reason exchange.Reason
 	}{
 		"the back end ends":             {true, exchange.ReasonEnded},
@@ -63,12 +64,12 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			var mu sync.Mutex
-			told := map[string]Call{}
-			g := gateTo(dyingBackend(t, 3, c.ends), 6)
+			calls := map[string]Call{}
+			g := newGateFor(crashingBackend(t, 3, c.crash), 6)
 			g.config.OnCall = func(call Call) {
 				mu.Lock()
 				defer mu.Unlock()
-				told[call.RequestID] = call
+				calls[call.RequestID] = call
 			}
 			var group sync.WaitGroup
 			for _, id := range []string{"first", "second", "other"} {
@@ -85,13 +86,13 @@
 				})
 			}
 			group.Wait()
-			if !c.ends {
-				is.Equal(told["first"].Fingerprint, quarantine.Fingerprint(""))
+			if !c.crash {
+				is.Equal(calls["first"].Fingerprint, quarantine.Fingerprint(""))
 				return
 			}
-			is.True(told["first"].Fingerprint != "")
-			is.Equal(told["first"].Fingerprint, told["second"].Fingerprint)
-			is.True(told["first"].Fingerprint != told["other"].Fingerprint)
+			is.True(calls["first"].Fingerprint != "")
+			is.Equal(calls["first"].Fingerprint, calls["second"].Fingerprint)
+			is.True(calls["first"].Fingerprint != calls["other"].Fingerprint)
 		})
 	}
 }
--- a/pkg/gate/doubt_test.go
+++ b/pkg/gate/failedcall_test.go
@@ -9,22 +9,22 @@
 	"github.com/matryer/is"
 )
 
-// A back end that has not said anything since an earlier doubt, whose time has passed, is doubted again when
-// it breaks off a call.
-func TestBackEndIsDoubtedAgainAfterAnElapsedAssumption(t *testing.T) {
+// A failed call must mark the back end cold again if an earlier assumption has elapsed and the back
+// end has not reported its state since.
+func TestFailedCallMakesBackendColdAfterElapsedAssumption(t *testing.T) {
 	is := is.New(t)
 	now := time.Duration(0)
 	g := New(Config{Now: func() time.Duration { return now }})
 	g.SetColdBounds(ColdBounds{Start: 2 * time.Second, Rate: 20})
 	g.SetBackend(Backend{ID: "i1", Capacity: 4})
 	is.Equal(g.Report().Cold.Remaining, 2*time.Second)
-	now = 3 * time.Second // no heartbeat came
+	now = 3 * time.Second // no heartbeat arrived
 	is.Equal(g.Report().Cold, exchange.Cold{})
-	granted, reason := g.admitOne()
+	adm, reason := g.admitOne()
 	is.Equal(reason, exchange.Reason(""))
-	g.doubt(granted)
+	g.assumeColdAfterFailure(adm)
 	is.Equal(g.Report().Cold.Remaining, 2*time.Second)
 	now = 4 * time.Second
-	g.doubt(granted) // another call of the same end
+	g.assumeColdAfterFailure(adm) // another call that failed in the same crash
 	is.Equal(g.Report().Cold.Remaining, time.Second)
 }
--- a/pkg/gate/gate_test.go
+++ b/pkg/gate/gate_test.go
@@ -23,8 +23,8 @@
 	RequestID: "Call-Id", Deadline: "Left-Ms", ExpectedInstance: "Want", NotRun: "Not-Run", Caller: "From",
 }
 
-// gateTo returns a gate with a back end at an address.
-func gateTo(address string, capacity int) *Gate {
+// newGateFor returns a gate whose back end has the given address and capacity.
+func newGateFor(address string, capacity int) *Gate {
 	started := time.Now()
 	g := New(Config{Headers: testHeaders, Now: func() time.Duration { return time.Since(started) }})
 	g.SetBackend(Backend{ID: "b1", Address: address, Capacity: capacity})
@@ -42,15 +42,15 @@
 	return request
 }
 
-// do sends a call of the node beside the gate; nothing of its body is held.
+// do sends a call as the gate's own node does, without a buffered body.
 func do(g *Gate, r *http.Request) *http.Response { return g.Do(r, &exchange.Body{}) }
 
 func reasonOf(response *http.Response) exchange.Reason {
 	return exchange.Reason(response.Header.Get(exchange.HeaderReason))
 }
 
-// rawBackend answers each call by a script.
-func rawBackend(t *testing.T, serve func(conn net.Conn, request *http.Request, number int64) (keep bool)) (string, *atomic.Int64) {
+// scriptedBackend handles each call with serve and counts the calls.
+func scriptedBackend(t *testing.T, serve func(conn net.Conn, request *http.Request, number int64) (keep bool)) (string, *atomic.Int64) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
@@ -81,12 +81,13 @@
 	return listener.Addr().String(), &calls
 }
 
-func write(conn net.Conn, id, rest string) {
+func writeResponse(conn net.Conn, id, rest string) {
 	_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nCall-Id: "+id+"\r\n"+rest)
 }
 
-// holdingBackend answers once released.
-func holdingBackend(t *testing.T) (address string, release chan struct{}, calls *atomic.Int64) {
+// blockingBackend responds to a call for each value received from release, or to all once it is
+// closed.
+func blockingBackend(t *testing.T) (address string, release chan struct{}, calls *atomic.Int64) {
 	release = make(chan struct{})
 	var counted atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -100,8 +101,8 @@
 
 func TestNoMoreThanCapacityReachesTheBackend(t *testing.T) {
 	is := is.New(t)
-	address, release, calls := holdingBackend(t)
-	g := gateTo(address, 2)
+	address, release, calls := blockingBackend(t)
+	g := newGateFor(address, 2)
 	var group sync.WaitGroup
 	for range 2 {
 		group.Go(func() { do(g, newCall(t, "GET", "a")).Body.Close() })
@@ -122,10 +123,10 @@
 	is.Equal(calls.Load(), int64(2))
 }
 
-func TestWaitersGoByPriorityThenDeadline(t *testing.T) {
+func TestQueuedCallsAreAdmittedByPriorityThenDeadline(t *testing.T) {
 	is := is.New(t)
-	address, release, calls := holdingBackend(t)
-	g := gateTo(address, 1)
+	address, release, calls := blockingBackend(t)
+	g := newGateFor(address, 1)
 	var group sync.WaitGroup
 	group.Go(func() { do(g, newCall(t, "GET", "first")).Body.Close() })
 	for calls.Load() < 1 {
@@ -152,14 +153,15 @@
 	is.Equal(order, []string{"high soon", "high late", "low"})
 }
 
-// Leaving is enforced here: whoever still sends, and whoever already waits.
-func TestNothingNewReachesALeavingBackend(t *testing.T) {
+// A leaving back end must get no new calls, neither queued ones nor those of senders that still
+// know it.
+func TestNoNewCallReachesALeavingBackend(t *testing.T) {
 	is := is.New(t)
-	address, release, calls := holdingBackend(t)
-	g := gateTo(address, 1)
+	address, release, calls := blockingBackend(t)
+	g := newGateFor(address, 1)
 	var group sync.WaitGroup
 	group.Go(func() {
-		is.Equal(do(g, newCall(t, "GET", "running")).StatusCode, http.StatusOK) // what runs is finished
+		is.Equal(do(g, newCall(t, "GET", "running")).StatusCode, http.StatusOK) // running calls may finish
 	})
 	for calls.Load() < 1 {
 		time.Sleep(time.Millisecond)
@@ -170,7 +172,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	g.RemoveBackend("other")
-	is.Equal(g.Report().Queued, 1) // the word of another one changes nothing
+	is.Equal(g.Report().Queued, 1) // removing another back end has no effect
 	g.RemoveBackend("b1")
 	is.Equal(<-waiting, exchange.ReasonAbsent)
 	is.Equal(reasonOf(do(g, newCall(t, "GET", "new", "Want", "b1"))), exchange.ReasonLeft)
@@ -179,14 +181,14 @@
 	is.Equal(calls.Load(), int64(1))
 }
 
-// Addresses are used again: a call for another back end must not reach this one.
+// Addresses are reused: a call for another back end must not reach this one.
 func TestOnlyTheExpectedInstanceIsReached(t *testing.T) {
 	is := is.New(t)
-	address, calls := rawBackend(t, func(conn net.Conn, r *http.Request, _ int64) bool {
-		write(conn, r.Header.Get("Call-Id"), "Content-Length: 0\r\n\r\n")
+	address, calls := scriptedBackend(t, func(conn net.Conn, r *http.Request, _ int64) bool {
+		writeResponse(conn, r.Header.Get("Call-Id"), "Content-Length: 0\r\n\r\n")
 		return true
 	})
-	g := gateTo(address, 2)
+	g := newGateFor(address, 2)
 	is.Equal(reasonOf(do(g, newCall(t, "GET", "a", "Want", "b0"))), exchange.ReasonAbsent)
 	is.Equal(do(g, newCall(t, "GET", "a", "Want", "b1")).StatusCode, http.StatusOK)
 	g.SetBackend(Backend{ID: "b2", Address: address, Capacity: 2})
@@ -194,15 +196,15 @@
 	is.Equal(calls.Load(), int64(1))
 }
 
-// What a faulty back end sends must never reach a caller as an answer.
-func TestWrongAnswersAreUnknown(t *testing.T) {
+// Invalid output of a faulty back end must never reach a caller as a response.
+func TestInvalidResponsesHaveUnknownOutcome(t *testing.T) {
 	for name, serve := range map[string]func(net.Conn, *http.Request, int64) bool{
 		"another call's": func(conn net.Conn, _ *http.Request, _ int64) bool {
-			write(conn, "other", "Content-Length: 2\r\n\r\nok")
+			writeResponse(conn, "other", "Content-Length: 2\r\n\r\nok")
 			return true
 		},
 		"cut off": func(conn net.Conn, r *http.Request, _ int64) bool {
-			write(conn, r.Header.Get("Call-Id"), "Content-Length: 20\r\n\r\nhalf")
+			writeResponse(conn, r.Header.Get("Call-Id"), "Content-Length: 20\r\n\r\nhalf")
 			return false
 		},
 		"not an answer": func(conn net.Conn, _ *http.Request, _ int64) bool {
@@ -211,7 +213,7 @@
 		},
 		"none": func(net.Conn, *http.Request, int64) bool { return false },
 		"without length, reset": func(conn net.Conn, r *http.Request, _ int64) bool {
-			write(conn, r.Header.Get("Call-Id"), "\r\nsome")
+			writeResponse(conn, r.Header.Get("Call-Id"), "\r\nsome")
 			time.Sleep(20 * time.Millisecond)
 			_ = conn.(*net.TCPConn).SetLinger(0)
 			return false
@@ -219,8 +221,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			address, calls := rawBackend(t, serve)
-			g := gateTo(address, 2)
+			address, calls := scriptedBackend(t, serve)
+			g := newGateFor(address, 2)
 			response := do(g, newCall(t, "POST", "a"))
 			is.Equal(response.Header.Get(exchange.HeaderOutcome), string(exchange.Unknown))
 			is.Equal(response.StatusCode, http.StatusBadGateway)
@@ -231,16 +233,16 @@
 	}
 }
 
-// A second answer to one call stands where the next call's is expected.
-func TestSurplusAnswerIsNotTheNextOnes(t *testing.T) {
+// A second response to one call must not be taken for the response to the next one.
+func TestSurplusResponseIsNotGivenToTheNextCall(t *testing.T) {
 	is := is.New(t)
-	address, _ := rawBackend(t, func(conn net.Conn, r *http.Request, _ int64) bool {
-		write(conn, r.Header.Get("Call-Id"), "Content-Length: 2\r\n\r\nok")
+	address, _ := scriptedBackend(t, func(conn net.Conn, r *http.Request, _ int64) bool {
+		writeResponse(conn, r.Header.Get("Call-Id"), "Content-Length: 2\r\n\r\nok")
 		time.Sleep(5 * time.Millisecond)
-		write(conn, r.Header.Get("Call-Id"), "Content-Length: 2\r\n\r\nok")
+		writeResponse(conn, r.Header.Get("Call-Id"), "Content-Length: 2\r\n\r\nok")
 		return true
 	})
-	g := gateTo(address, 2)
+	g := newGateFor(address, 2)
 	for _, id := range []string{"a", "b", "c", "d", "e"} {
 		response := do(g, newCall(t, "GET", id))
 		if response.Header.Get(exchange.HeaderOutcome) == "" {
@@ -249,43 +251,43 @@
 	}
 }
 
-func TestAnswerWithoutLengthIsWholeAtItsEnd(t *testing.T) {
+func TestResponseWithoutLengthIsCompleteAtEOF(t *testing.T) {
 	is := is.New(t)
-	address, _ := rawBackend(t, func(conn net.Conn, r *http.Request, _ int64) bool {
-		write(conn, r.Header.Get("Call-Id"), "\r\nall of it")
+	address, _ := scriptedBackend(t, func(conn net.Conn, r *http.Request, _ int64) bool {
+		writeResponse(conn, r.Header.Get("Call-Id"), "\r\nall of it")
 		return false
 	})
-	response := do(gateTo(address, 1), newCall(t, "GET", "a"))
+	response := do(newGateFor(address, 1), newCall(t, "GET", "a"))
 	data, err := io.ReadAll(response.Body)
 	is.NoErr(err)
 	is.Equal(string(data), "all of it")
 }
 
-// A back end that is full says so: the call is not run, though it reached it.
-func TestDeclineIsNotRunButReached(t *testing.T) {
+// A call that the back end declines must be reported as not run, although it reached the back end.
+func TestDeclinedCallIsNotRunButReachedTheBackend(t *testing.T) {
 	is := is.New(t)
-	address, _ := rawBackend(t, func(conn net.Conn, r *http.Request, _ int64) bool {
+	address, _ := scriptedBackend(t, func(conn net.Conn, r *http.Request, _ int64) bool {
 		_, _ = io.WriteString(conn, "HTTP/1.1 503 Busy\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n")
 		return true
 	})
-	response := do(gateTo(address, 1), newCall(t, "GET", "a"))
+	response := do(newGateFor(address, 1), newCall(t, "GET", "a"))
 	is.Equal(response.Header.Get(exchange.HeaderOutcome), string(exchange.NotRun))
 	is.True(reasonOf(response).Reached())
 }
 
-func TestCrashedBackendIsNotRunAndLeftAlone(t *testing.T) {
+func TestCallToUnreachableBackendIsNotRun(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	address := listener.Addr().String()
 	is.NoErr(listener.Close())
-	response := do(gateTo(address, 1), newCall(t, "POST", "a"))
+	response := do(newGateFor(address, 1), newCall(t, "POST", "a"))
 	is.Equal(response.Header.Get(exchange.HeaderOutcome), string(exchange.NotRun))
 	is.Equal(reasonOf(response), exchange.ReasonUnreachable)
 	is.True(!reasonOf(response).Reached())
 }
 
-// The deadline handed on is what is left at the moment of sending, wait included.
+// The forwarded deadline must not include the time that the call has waited in the queue.
 func TestDeadlineShrinksWhileWaiting(t *testing.T) {
 	is := is.New(t)
 	left := make(chan time.Duration, 2)
@@ -296,43 +298,43 @@
 		w.Header().Set("Call-Id", r.Header.Get("Call-Id"))
 	}))
 	defer server.Close()
-	g := gateTo(server.Listener.Addr().String(), 1)
+	g := newGateFor(server.Listener.Addr().String(), 1)
 	go do(g, newCall(t, "GET", "a"))
 	is.True(<-left > 1900*time.Millisecond)
 	go do(g, newCall(t, "GET", "b", exchange.HeaderWait, "1000"))
 	is.True(<-left <= 1950*time.Millisecond)
 }
 
-// A caller that leaves is felt at the back end at once, over the hop between nodes.
-func TestLeavingCallerEndsTheWork(t *testing.T) {
+// A canceled call must be canceled at the back end too, also when it came from another node.
+func TestCanceledCallIsCanceledAtTheBackend(t *testing.T) {
 	is := is.New(t)
-	begun, ended := make(chan struct{}), make(chan struct{})
+	started, canceled := make(chan struct{}), make(chan struct{})
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		close(begun)
+		close(started)
 		<-r.Context().Done()
-		close(ended)
+		close(canceled)
 	}))
 	defer server.Close()
-	front := httptest.NewServer(gateTo(server.Listener.Addr().String(), 1))
+	front := httptest.NewServer(newGateFor(server.Listener.Addr().String(), 1))
 	defer front.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	request, err := http.NewRequestWithContext(ctx, "GET", front.URL, nil)
 	is.NoErr(err)
 	request.Header.Set("Call-Id", "a")
 	go func() { _, _ = http.DefaultClient.Do(request) }()
-	<-begun
+	<-started
 	cancel()
 	select {
-	case <-ended:
+	case <-canceled:
 	case <-time.After(500 * time.Millisecond):
-		t.Fatal("the back end still works half a second after its caller left")
+		t.Fatal("the back end still handles the call half a second after its caller canceled it")
 	}
 }
 
-// A refused call with a large body costs no more than its head.
+// A rejected call with a large body must cost only its header.
 func TestBodyIsSentOnlyOnceAdmitted(t *testing.T) {
 	is := is.New(t)
-	g := gateTo("127.0.0.1:1", 1)
+	g := newGateFor("127.0.0.1:1", 1)
 	g.Stop()
 	front := httptest.NewServer(g)
 	defer front.Close()
--- a/pkg/gate/warming_test.go
+++ b/pkg/gate/gatecold_test.go
@@ -15,12 +15,11 @@
 	"github.com/matryer/is"
 )
 
-// coldBackend is a back end that notes when calls come, and says on its health path for how long it is
-// cold.
+// coldBackend records when calls arrive, and reports on its health path how much longer it is cold.
 type coldBackend struct {
 	*httptest.Server
 	coldUntil atomic.Int64
-	looks     atomic.Int64
+	probes    atomic.Int64
 
 	mu    sync.Mutex
 	calls []time.Duration
@@ -37,13 +36,13 @@
 
 func newColdBackend(t *testing.T, cold time.Duration) *coldBackend {
 	b := &coldBackend{}
-	b.turnCold(cold)
+	b.setCold(cold)
 	b.Server = httptest.NewServer(b)
 	t.Cleanup(b.Close)
 	return b
 }
 
-func (b *coldBackend) turnCold(cold time.Duration) { b.coldUntil.Store(int64(sinceStart() + cold)) }
+func (b *coldBackend) setCold(cold time.Duration) { b.coldUntil.Store(int64(sinceStart() + cold)) }
 
 func (b *coldBackend) remaining() time.Duration {
 	return max(0, time.Duration(b.coldUntil.Load())-sinceStart())
@@ -51,7 +50,7 @@
 
 func (b *coldBackend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == coldPath {
-		b.looks.Add(1)
+		b.probes.Add(1)
 		w.Header().Set(coldHeader, strconv.FormatInt(b.remaining().Milliseconds(), 10))
 		return
 	}
@@ -67,13 +66,13 @@
 	return append([]time.Duration(nil), b.calls...)
 }
 
-// gateBeside returns a gate with the bounds set but no word of the back end yet.
-func (b *coldBackend) gateBeside(rate float64, changes ...func(ColdChange)) *Gate {
-	return b.gateByClock(sinceStart, rate, changes...)
+// newGate returns a gate with cold bounds whose back end has not reported its state.
+func (b *coldBackend) newGate(rate float64, changes ...func(ColdChange)) *Gate {
+	return b.newGateWithClock(sinceStart, rate, changes...)
 }
 
-// gateByClock is gateBeside with a clock.
-func (b *coldBackend) gateByClock(clock func() time.Duration, rate float64, changes ...func(ColdChange)) *Gate {
+// newGateWithClock is newGate with the given clock.
+func (b *coldBackend) newGateWithClock(clock func() time.Duration, rate float64, changes ...func(ColdChange)) *Gate {
 	headers := testHeaders
 	headers.Cold = coldHeader
 	config := Config{Headers: headers, Now: clock}
@@ -86,62 +85,60 @@
 	return g
 }
 
-// flood sends calls at short intervals for a while, each of which may wait, and counts how they ended.
-func flood(t *testing.T, g *Gate, lasting time.Duration, header ...string) map[exchange.Reason]int {
+// sendCalls sends calls at short intervals for the given time and counts them by reject reason,
+// empty for responses.
+func sendCalls(t *testing.T, g *Gate, duration time.Duration, header ...string) map[exchange.Reason]int {
 	t.Helper()
 	var mu sync.Mutex
 	var group sync.WaitGroup
-	ends := map[exchange.Reason]int{}
-	for until := sinceStart() + lasting; sinceStart() < until; time.Sleep(2 * time.Millisecond) {
+	reasons := map[exchange.Reason]int{}
+	for until := sinceStart() + duration; sinceStart() < until; time.Sleep(2 * time.Millisecond) {
 		call := newCall(t, "POST", "x", header...)
 		group.Go(func() {
 			response := do(g, call)
 			response.Body.Close()
 			mu.Lock()
 			defer mu.Unlock()
-			ends[reasonOf(response)]++
+			reasons[reasonOf(response)]++
 		})
 	}
 	group.Wait()
-	return ends
+	return reasons
 }
 
-// A gate that has just started takes its back end for cold, asks it once, and keeps the rate.
-func TestGateRestartedBesideAColdBackEnd(t *testing.T) {
+// A restarted gate must assume a cold back end, probe it once and keep the cold rate.
+func TestRestartedGateLimitsColdBackend(t *testing.T) {
 	is := is.New(t)
 	b := newColdBackend(t, 1500*time.Millisecond)
-	g := b.gateBeside(20)
-	ends := flood(t, g, 1200*time.Millisecond, exchange.HeaderWait, "100")
-	is.True(mostInASecond(b.arrived()) <= 20*coldShare+2) // two may have been held up on their way
+	g := b.newGate(20)
+	reasons := sendCalls(t, g, 1200*time.Millisecond, exchange.HeaderWait, "100")
+	is.True(maxPerSecond(b.arrived()) <= 20*coldRateFactor+2) // two may have been delayed in transit
 	is.True(len(b.arrived()) >= 20)
-	is.Equal(b.looks.Load(), int64(1))
-	is.Equal(ends[""], len(b.arrived())) // what was refused has not run
-	is.True(ends[exchange.ReasonCold] > 0)
-	is.Equal(len(ends), 2)
+	is.Equal(b.probes.Load(), int64(1))
+	is.Equal(reasons[""], len(b.arrived())) // rejected calls have not run
+	is.True(reasons[exchange.ReasonCold] > 0)
+	is.Equal(len(reasons), 2)
 	time.Sleep(b.remaining() + 20*time.Millisecond)
-	warm := flood(t, g, 200*time.Millisecond)
+	warm := sendCalls(t, g, 200*time.Millisecond)
 	is.Equal(warm[exchange.ReasonCold], 0)
-	is.Equal(b.looks.Load(), int64(1))
+	is.Equal(b.probes.Load(), int64(1))
 }
 
-// Beside a warm one nothing is held back once it has said so.
-func TestGateRestartedBesideAWarmBackEnd(t *testing.T) {
+// A restarted gate must not limit a back end that reports that it is warm.
+func TestRestartedGateDoesNotLimitWarmBackend(t *testing.T) {
 	is := is.New(t)
 	b := newColdBackend(t, 0)
-	g := b.gateBeside(20)
-	ends := flood(t, g, 300*time.Millisecond, exchange.HeaderWait, "200")
-	is.Equal(ends[exchange.ReasonCold], 0)
-	is.True(ends[""] > 40)
-	is.Equal(b.looks.Load(), int64(1))
+	g := b.newGate(20)
+	reasons := sendCalls(t, g, 300*time.Millisecond, exchange.HeaderWait, "200")
+	is.Equal(reasons[exchange.ReasonCold], 0)
+	is.True(reasons[""] > 40)
+	is.Equal(b.probes.Load(), int64(1))
 }
 
-// A back end that turns cold while it has calls gets them by its rate from its next heartbeat on; the
-// calls of the second before count.
-//
-// The gate's clock stops short of the second after the first call, so that none of them leaves that second, however long this
-// process isn't run. As many calls must have come as the rate lets in within a second: while there were fewer, the gate let
-// in just those that were missing.
-func TestColdAgainWithoutAWord(t *testing.T) {
+// A back end that turns cold must be limited from its next heartbeat on, including the calls of the
+// preceding second. The clock stops within a second of the first call, so that a slow test process
+// cannot let calls leave the window.
+func TestBackendThatTurnsColdIsLimitedFromNextHeartbeat(t *testing.T) {
 	is := is.New(t)
 	const rate = 30
 	var changes []ColdChange
@@ -149,19 +146,19 @@
 	var stopsAt atomic.Int64
 	stopsAt.Store(int64(sinceStart() + time.Second - time.Millisecond))
 	clock := func() time.Duration { return min(sinceStart(), time.Duration(stopsAt.Load())) }
-	g := b.gateByClock(clock, rate, func(c ColdChange) { changes = append(changes, c) })
+	g := b.newGateWithClock(clock, rate, func(c ColdChange) { changes = append(changes, c) })
 	g.HeardCold("b1", 0)
 	for range 2 * rate {
 		do(g, newCall(t, "POST", "x")).Body.Close()
 	}
 	before := len(b.arrived())
 	is.Equal(before, 2*rate)
-	b.turnCold(time.Second)
+	b.setCold(time.Second)
 	g.HeardCold("other", 0)
 	g.HeardCold("b1", b.remaining())
-	flood(t, g, 700*time.Millisecond, exchange.HeaderWait, "50")
-	is.Equal(len(b.arrived()), before) // more than the rate came within the last second
-	is.Equal(b.looks.Load(), int64(0))
+	sendCalls(t, g, 700*time.Millisecond, exchange.HeaderWait, "50")
+	is.Equal(len(b.arrived()), before) // the last second already has more calls than the rate allows
+	is.Equal(b.probes.Load(), int64(0))
 	is.Equal(changes[len(changes)-1].Cold, true)
 	is.Equal(changes[len(changes)-1].Source, ColdHeartbeat)
 	stopsAt.Store(math.MaxInt64)
@@ -171,45 +168,46 @@
 	is.Equal(changes[len(changes)-1].Source, ColdElapsed)
 }
 
-// A back end that was away for a moment comes back cold, whatever a heartbeat says that was on its way.
-func TestBackEndThatWasAwayIsCold(t *testing.T) {
+// A back end that returns after it was unreachable must be treated as cold, despite a heartbeat
+// that was in transit.
+func TestUnreachableBackendIsColdWhenItReturns(t *testing.T) {
 	is := is.New(t)
 	b := newColdBackend(t, 0)
-	g := b.gateBeside(20)
+	g := b.newGate(20)
 	g.HeardCold("b1", 0)
-	flood(t, g, 50*time.Millisecond)
-	b.turnCold(time.Minute)
-	g.markDown(admittance{generation: g.generation})
+	sendCalls(t, g, 50*time.Millisecond)
+	b.setCold(time.Minute)
+	g.markUnreachable(admission{generation: g.generation})
 	g.HeardCold("b1", 0)
-	time.Sleep(downPause + 10*time.Millisecond)
-	begin := len(b.arrived())
-	flood(t, g, 300*time.Millisecond)
-	is.True(len(b.arrived())-begin <= 20*coldShare)
-	is.Equal(b.looks.Load(), int64(1))
+	time.Sleep(unreachableBackoff + 10*time.Millisecond)
+	before := len(b.arrived())
+	sendCalls(t, g, 300*time.Millisecond)
+	is.True(len(b.arrived())-before <= 20*coldRateFactor)
+	is.Equal(b.probes.Load(), int64(1))
 	is.True(g.Report().Cold.Remaining > 30*time.Second)
 }
 
-// So does one whose zone is no longer evacuated.
-func TestRestedBackEndIsAsked(t *testing.T) {
+// A back end whose zone is no longer evacuated must be probed before it gets the full rate.
+func TestBackendIsProbedAfterEvacuationEnds(t *testing.T) {
 	is := is.New(t)
 	b := newColdBackend(t, 0)
-	g := b.gateBeside(20)
+	g := b.newGate(20)
 	g.HeardCold("b1", 0)
 	is.Equal(g.Report().Cold, exchange.Cold{})
 	g.SetBackend(Backend{ID: "b1", Address: g.backend.Address, Capacity: g.backend.Capacity, Zone: "a"})
 	g.SetRules(evacuated("a"))
 	g.SetRules(evacuated())
 	is.True(g.Report().Cold.Remaining > 0)
-	flood(t, g, 100*time.Millisecond, exchange.HeaderWait, "200")
-	is.Equal(b.looks.Load(), int64(1))
+	sendCalls(t, g, 100*time.Millisecond, exchange.HeaderWait, "200")
+	is.Equal(b.probes.Load(), int64(1))
 	is.Equal(g.Report().Cold, exchange.Cold{})
 }
 
-// Those that wait for a cold back end go by their rank, and are let in at once when it is warm.
-func TestUrgentCallsGoFirstToAColdBackEnd(t *testing.T) {
+// Calls that wait for a cold back end must be admitted in order of priority.
+func TestColdBackendAdmitsByPriority(t *testing.T) {
 	is := is.New(t)
 	b := newColdBackend(t, 0)
-	g := b.gateBeside(4)
+	g := b.newGate(4)
 	g.HeardCold("b1", time.Minute)
 	do(g, newCall(t, "POST", "first")).Body.Close()
 	order := make(chan string, 2)
--- a/pkg/gate/health.go
+++ b/pkg/gate/health.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	// healthHalfLife is after how long an ending counts half.
+	// healthHalfLife is the time after which a result counts half.
 	healthHalfLife = 2 * time.Second
-	// healthPrior is how many good endings are assumed, so that one failure of a few
-	// calls is not taken for a faulty back end.
+	// healthPrior is the number of assumed successes, so that one failure among few calls does not
+	// mark a back end as faulty.
 	healthPrior = 8
-	// hangServices is after how many service times a call that got no answer in its time
-	// counts as a failure of the back end, not of a late start.
-	hangServices = 3
+	// hangServiceTimes is how many service times a call must spend at the back end for a missing
+	// response to count as a failure of the back end rather than a late start.
+	hangServiceTimes = 3
 )
 
-// health judges a back end by how its calls ended lately. It forgets, so that a back end
-// that gets no calls for its failures is tried again.
+// health tracks the recent share of failed calls. Results decay, so that a back end that gets no
+// calls because of its failures is tried again.
 type health struct {
 	failed, total float64
 	at            time.Duration
 }
 
-// note takes in one ending.
-func (h *health) note(now time.Duration, failed bool) {
-	h.forget(now)
+// record adds the result of a call.
+func (h *health) record(now time.Duration, failed bool) {
+	h.decay(now)
 	h.total++
 	if failed {
 		h.failed++
@@ -35,13 +35,13 @@
 
 // failing returns the share of calls that failed, from 0 to 1.
 func (h *health) failing(now time.Duration) float64 {
-	h.forget(now)
+	h.decay(now)
 	return h.failed / (h.total + healthPrior)
 }
 
-func (h *health) forget(now time.Duration) {
-	kept := clock.Kept(now-h.at, healthHalfLife)
-	h.failed *= kept
-	h.total *= kept
+func (h *health) decay(now time.Duration) {
+	factor := clock.Kept(now-h.at, healthHalfLife)
+	h.failed *= factor
+	h.total *= factor
 	h.at = now
 }
--- a/pkg/gate/health_test.go
+++ b/pkg/gate/health_test.go
@@ -13,24 +13,24 @@
 	"github.com/matryer/is"
 )
 
-func TestHealthForgets(t *testing.T) {
+func TestFailureShareDecays(t *testing.T) {
 	is := is.New(t)
 	var h health
 	is.Equal(h.failing(0), 0.0)
-	h.note(0, true)
-	is.True(h.failing(0) < 0.2) // one failure is no verdict
+	h.record(0, true)
+	is.True(h.failing(0) < 0.2) // one failure is not enough
 	for range 50 {
-		h.note(0, true)
+		h.record(0, true)
 	}
 	is.True(h.failing(0) > 0.8)
 	is.True(h.failing(10*healthHalfLife) < 0.1)
 }
 
-// failingShare sends calls to a back end and returns what the gate reports of it.
+// failingShare sends calls to a back end and returns the failure share that its gate reports.
 func failingShare(t *testing.T, serve func(conn net.Conn, request *http.Request, number int64) bool) float64 {
 	t.Helper()
-	address, _ := rawBackend(t, serve)
-	g := gateTo(address, 4)
+	address, _ := scriptedBackend(t, serve)
+	g := newGateFor(address, 4)
 	var report exchange.Report
 	for i := range 40 {
 		response := do(g, newCall(t, "GET", fmt.Sprintf("c%d", i)))
@@ -40,13 +40,13 @@
 	return report.Failing
 }
 
-// Whatever way a back end fails its calls, its gate says so, and an error that comes at once
-// is no fast service.
+// A gate must report every kind of failure of its back end, and must not take quick errors for fast
+// service.
 func TestGateReportsFailures(t *testing.T) {
 	head := func(status string) string { return "HTTP/1.1 " + status + "\r\nContent-Length: 0\r\nCall-Id: " }
 	for name, c := range map[string]struct {
-		least, most float64
-		serve       func(conn net.Conn, request *http.Request, number int64) bool
+		minShare, maxShare float64
+		serve              func(conn net.Conn, request *http.Request, number int64) bool
 	}{
 		"well": {0, 0, func(conn net.Conn, r *http.Request, _ int64) bool {
 			_, err := fmt.Fprintf(conn, "%s%s\r\n\r\n", head("200 OK"), r.Header.Get("Call-Id"))
@@ -74,27 +74,27 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			share := failingShare(t, c.serve)
-			is.True(share >= c.least)
-			is.True(share <= c.most)
+			is.True(share >= c.minShare)
+			is.True(share <= c.maxShare)
 		})
 	}
 }
 
-// A back end that never answers fails its calls; a caller that leaves early does not make it
-// a faulty one.
+// A call without a response by its deadline must count as a failure; one that its caller canceled
+// early must not.
 func TestHangingBackendFails(t *testing.T) {
 	is := is.New(t)
-	address, release, _ := holdingBackend(t)
+	address, release, _ := blockingBackend(t)
 	defer close(release)
-	g := gateTo(address, 4)
-	g.service = time.Millisecond
-	ask := func(left string, patience time.Duration) exchange.Report {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+	g := newGateFor(address, 4)
+	g.serviceTime = time.Millisecond
+	send := func(left string, callerTimeout time.Duration) exchange.Report {
+		ctx, cancel := context.WithTimeout(context.Background(), callerTimeout)
 		defer cancel()
 		response := do(g, newCall(t, "GET", "x", "Left-Ms", left).WithContext(ctx))
 		report, _ := exchange.ReadReport(response.Header)
 		return report
 	}
-	is.Equal(ask("2000", 20*time.Millisecond).Failing, 0.0)
-	is.True(ask("20", 25*time.Millisecond).Failing > 0)
+	is.Equal(send("2000", 20*time.Millisecond).Failing, 0.0)
+	is.True(send("20", 25*time.Millisecond).Failing > 0)
 }
--- a/pkg/gate/inbound.go
+++ b/pkg/gate/inbound.go
@@ -3,30 +3,30 @@
 import "time"
 
 const (
-	// inboundShare of the link's rate is at most for large bodies from other nodes. Calls without
-	// one, answers, heartbeats and configuration come over the same link and must not wait
-	// behind them.
+	// inboundShare is the maximum share of the link's rate for large bodies from other nodes, so
+	// that other inbound traffic such as small calls, responses, heartbeats and configuration is
+	// not delayed.
 	inboundShare = 0.7
-	// inboundUsable of the link's rate is for all that comes in.
+	// inboundUsable is the share of the link's rate that all inbound traffic may use.
 	inboundUsable = 0.9
 )
 
-// linkPatience is for how long a large body may wait for the link: its call must still be
-// answered in time. One that is late already only takes what nobody else wants.
-func (g *Gate) linkPatience(r request, size int64) time.Duration {
-	if g.inbound == nil || r.late {
+// maxBodyLinkWait returns how long a large body may wait for the link so that its call can still
+// meet its target. Late calls only get a link that is nearly free.
+func (g *Gate) maxBodyLinkWait(req request, size int64) time.Duration {
+	if g.inbound == nil || req.late {
 		return bodySlack
 	}
-	if !r.targeted {
-		return max(bodySlack, r.wait)
+	if !req.targeted {
+		return max(bodySlack, req.wait)
 	}
-	work := time.Duration(workMargin * float64(max(r.work, g.expectedWork())))
-	return max(bodySlack, r.targetLeft-work-g.inbound.takes(g.config.Now(), size))
+	work := time.Duration(workMargin * float64(max(req.work, g.expectedWork())))
+	return max(bodySlack, req.targetLeft-work-g.inbound.duration(g.config.Now(), size))
 }
 
-// expectedWork is how long the back end takes for a call.
+// expectedWork is expectedServiceTime for callers that do not hold g.mu.
 func (g *Gate) expectedWork() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.serviceTime()
+	return g.expectedServiceTime()
 }
--- a/pkg/gate/outbound_test.go
+++ b/pkg/gate/outbound_test.go
@@ -15,9 +15,9 @@
 	"github.com/matryer/is"
 )
 
-// largeServer answers with as many bytes as the call asks for in Want-Bytes, and cuts the answer short
-// after those of Cut-At.
-func largeServer(t *testing.T) string {
+// largeResponseServer responds with Want-Bytes bytes, or declares that length and stops after
+// Cut-At bytes.
+func largeResponseServer(t *testing.T) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		size, _ := strconv.Atoi(r.Header.Get("Want-Bytes"))
@@ -33,13 +33,13 @@
 	return server.Listener.Addr().String()
 }
 
-// gateOnLink is a gate with a link of a megabyte a second.
-func gateOnLink(t *testing.T, capacity int) *Gate {
+// newGateWithLink returns a gate with a link of 1 MB/s.
+func newGateWithLink(t *testing.T, capacity int) *Gate {
 	t.Helper()
 	started := time.Now()
 	now := func() time.Duration { return time.Since(started) }
-	g := New(Config{Headers: testHeaders, Now: now, Link: link.NewMeter(8e6), Answers: exchange.NewAnswerPacer(8e6, nothing, now)})
-	g.SetBackend(Backend{ID: "b1", Address: largeServer(t), Capacity: capacity})
+	g := New(Config{Headers: testHeaders, Now: now, Link: link.NewMeter(8e6), Answers: exchange.NewAnswerPacer(8e6, noOtherTraffic, now)})
+	g.SetBackend(Backend{ID: "b1", Address: largeResponseServer(t), Capacity: capacity})
 	return g
 }
 
@@ -50,30 +50,30 @@
 	return do(g, r)
 }
 
-// What would get out too late is refused before it costs the back end any work; small answers are not
-// touched by it, and the refusal says for how long the link is taken.
-func TestLargeAnswerThatWouldBeLateIsRefusedAtOnce(t *testing.T) {
+// A call whose large response would be late must be rejected before it uses the back end, with the
+// link wait in the report. Small responses must not be affected.
+func TestLargeResponseThatWouldBeLateIsRejectedBeforeTheCallRuns(t *testing.T) {
 	is := is.New(t)
-	g := gateOnLink(t, 8)
+	g := newGateWithLink(t, 8)
 	large := []string{exchange.HeaderExpectedAnswer, "400000", exchange.HeaderTarget, "1300", "Want-Bytes", "400000"}
 	for _, id := range []string{"first", "second"} {
 		is.Equal(get(t, g, id, large...).StatusCode, http.StatusOK)
 	}
-	refused := get(t, g, "third", large...) // the link is taken for a second
-	is.Equal(reasonOf(refused), exchange.ReasonLink)
-	is.Equal(refused.Header.Get(exchange.HeaderOutcome), string(exchange.NotRun))
-	report, ok := exchange.ReadReport(refused.Header)
+	rejected := get(t, g, "third", large...) // the link is reserved for a second
+	is.Equal(reasonOf(rejected), exchange.ReasonLink)
+	is.Equal(rejected.Header.Get(exchange.HeaderOutcome), string(exchange.NotRun))
+	report, ok := exchange.ReadReport(rejected.Header)
 	is.True(ok)
 	is.True(report.LinkWait > 800*time.Millisecond && report.LinkWait <= time.Second)
 	is.Equal(get(t, g, "small", exchange.HeaderTarget, "1300", "Want-Bytes", "100").StatusCode, http.StatusOK)
-	is.Equal(report.Running, 0) // it has not got a slot
+	is.Equal(report.Running, 0) // it got no slot
 }
 
-// The account of the link is put right by what the answer was, and by calls that brought none.
-func TestBookedLinkIsGivenBack(t *testing.T) {
+// A reservation must be adjusted to the actual response, and canceled for calls without one.
+func TestUnusedLinkReservationIsReturned(t *testing.T) {
 	for name, test := range map[string]struct {
-		header []string
-		most   time.Duration
+		header  []string
+		maxWait time.Duration
 	}{
 		"the answer is shorter":      {[]string{"Want-Bytes", "40000"}, 60 * time.Millisecond},
 		"the answer is cut short":    {[]string{"Want-Bytes", "40000", "Cut-At", "10"}, 10 * time.Millisecond},
@@ -82,40 +82,40 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			g := gateOnLink(t, 8)
+			g := newGateWithLink(t, 8)
 			get(t, g, "x", append([]string{exchange.HeaderExpectedAnswer, "400000", exchange.HeaderTarget, "1300"}, test.header...)...)
 			wait := g.outbound.wait(g.config.Now())
-			is.True(wait <= test.most)
-			is.Equal(wait > 300*time.Millisecond, test.most == time.Second)
+			is.True(wait <= test.maxWait)
+			is.Equal(wait > 300*time.Millisecond, test.maxWait == time.Second)
 		})
 	}
 	is := is.New(t)
-	g := gateOnLink(t, 8)
-	get(t, g, "x", "Want-Bytes", "400000") // nobody expected it
+	g := newGateWithLink(t, 8)
+	get(t, g, "x", "Want-Bytes", "400000") // without an expected size
 	is.True(g.outbound.wait(g.config.Now()) > 300*time.Millisecond)
-	g = gateOnLink(t, 8)
+	g = newGateWithLink(t, 8)
 	head := newCall(t, "HEAD", "x", "Want-Bytes", "400000")
 	head.Body, head.ContentLength = http.NoBody, 0
 	is.Equal(do(g, head).StatusCode, http.StatusOK)
-	is.Equal(g.outbound.wait(g.config.Now()), time.Duration(0)) // it tells a length and has no body
+	is.Equal(g.outbound.wait(g.config.Now()), time.Duration(0)) // a HEAD response has a length but no body
 }
 
-// A call that is late already takes no room from those that are not.
-func TestLateCallTakesOnlyLinkThatIsFree(t *testing.T) {
+// A late call must not get link time before calls that are not late.
+func TestLateCallGetsOnlyAFreeLink(t *testing.T) {
 	is := is.New(t)
-	g := gateOnLink(t, 8)
+	g := newGateWithLink(t, 8)
 	is.Equal(get(t, g, "x", exchange.HeaderExpectedAnswer, "400000", exchange.HeaderTarget, "1300", "Want-Bytes", "400000").StatusCode, http.StatusOK)
 	late := get(t, g, "late", exchange.HeaderExpectedAnswer, "400000", exchange.HeaderTarget, "0", "Want-Bytes", "400000")
 	is.Equal(reasonOf(late), exchange.ReasonLink)
 }
 
-// An answer that the back end cuts short never looks whole to another node, whether it is held or
-// passed on piece by piece.
-func TestAnswerCutShortNeverLooksWhole(t *testing.T) {
+// A response that the back end truncates must never look complete to another node, whether it is
+// buffered or streamed.
+func TestTruncatedResponseNeverLooksComplete(t *testing.T) {
 	for name, size := range map[string]int{"held": 200_000, "passed on": 3 << 20} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			front := httptest.NewServer(gateOnLink(t, 1))
+			front := httptest.NewServer(newGateWithLink(t, 1))
 			defer front.Close()
 			r, err := http.NewRequest(http.MethodGet, front.URL, nil)
 			is.NoErr(err)
@@ -132,11 +132,11 @@
 	}
 }
 
-// A caller that leaves in the middle of a large answer stops it: nothing more is sent, and a caller that
-// reads slowly keeps nobody from the back end.
-func TestCallerThatLeavesStopsItsAnswer(t *testing.T) {
+// A caller that disconnects during a large response must stop the transfer, and a slow reader must
+// not occupy the back end's slot.
+func TestCallerDisconnectStopsItsResponse(t *testing.T) {
 	is := is.New(t)
-	g := gateOnLink(t, 1)
+	g := newGateWithLink(t, 1)
 	front := httptest.NewServer(g)
 	defer front.Close()
 	r, err := http.NewRequest(http.MethodGet, front.URL, nil)
@@ -157,18 +157,18 @@
 	is.Equal(g.config.Link.AnswersSent(), sent)
 }
 
-// What is held of large answers is bounded: one beyond the bound is passed on as it comes, whole, and
-// its slot is free again once it has been taken.
-func TestLargeAnswersBeyondTheBoundArePassedOnAsTheyCome(t *testing.T) {
+// A response beyond the buffer limit must be streamed completely and hold its slot until it has
+// been read.
+func TestResponsesBeyondTheBufferLimitAreStreamed(t *testing.T) {
 	is := is.New(t)
-	g := gateOnLink(t, 1)
+	g := newGateWithLink(t, 1)
 	g.config.AnswerBuffer = exchange.NewAnswerBuffer(150_000)
 	first := get(t, g, "first", "Want-Bytes", "200000")
 	is.Equal(g.config.AnswerBuffer.Held(), int64(200_000))
 	second := get(t, g, "second", "Want-Bytes", "200000")
-	is.Equal(g.config.AnswerBuffer.Held(), int64(200_000))                                     // not held
-	is.Equal(reasonOf(get(t, g, "third", exchange.HeaderWait, "1")), exchange.ReasonFull)      // its slot is busy
-	is.Equal(get(t, g, "small", "Want-Bytes", "10", exchange.HeaderWait, "1").StatusCode, 503) // for whoever comes
+	is.Equal(g.config.AnswerBuffer.Held(), int64(200_000))                                     // not buffered
+	is.Equal(reasonOf(get(t, g, "third", exchange.HeaderWait, "1")), exchange.ReasonFull)      // the slot is taken
+	is.Equal(get(t, g, "small", "Want-Bytes", "10", exchange.HeaderWait, "1").StatusCode, 503) // also against small calls
 	data, err := io.ReadAll(second.Body)
 	is.NoErr(err)
 	is.Equal(len(data), 200_000)
@@ -178,44 +178,45 @@
 	is.Equal(g.config.AnswerBuffer.Held(), int64(0))
 }
 
-// A long answer that its caller does not take to the end leaves the rest of its time on the link to others.
-func TestAnswerThatIsNotTakenGivesItsLinkBack(t *testing.T) {
+// A large response that its caller does not read completely must return the rest of its link time.
+func TestUnreadResponseReturnsItsLinkTime(t *testing.T) {
 	is := is.New(t)
-	g := gateOnLink(t, 1)
-	answer := get(t, g, "x", "Want-Bytes", "8000000", "Left-Ms", "60000")
-	defer answer.Body.Close()
+	g := newGateWithLink(t, 1)
+	response := get(t, g, "x", "Want-Bytes", "8000000", "Left-Ms", "60000")
+	defer response.Body.Close()
 	is.True(g.outbound.wait(g.config.Now()) > 7*time.Second)
-	_, err := io.ReadFull(answer.Body, make([]byte, 50_000))
+	_, err := io.ReadFull(response.Body, make([]byte, 50_000))
 	is.NoErr(err)
-	is.NoErr(answer.Body.Close())
+	is.NoErr(response.Body.Close())
 	is.True(g.outbound.wait(g.config.Now()) < 200*time.Millisecond)
-	is.NoErr(answer.Body.Close())
+	is.NoErr(response.Body.Close())
 	is.True(g.outbound.wait(g.config.Now()) < 200*time.Millisecond)
 }
 
-// What was booked is given back as it was booked, whatever else crosses the link by then.
-func TestBookedTimeIsGivenBackWhole(t *testing.T) {
+// A canceled reservation must return the time that was reserved, even if the other traffic has
+// changed since.
+func TestCanceledReservationIsReturnedInFull(t *testing.T) {
 	is := is.New(t)
-	others := 0.0
-	l := newLinkRoom(1e6, outboundShare, outboundUsable, func(time.Duration) float64 { return others })
+	otherTraffic := 0.0
+	l := newLinkScheduler(1e6, outboundShare, outboundUsable, func(time.Duration) float64 { return otherTraffic })
 	_, inTime := l.reserve(0, 400_000, 0)
 	is.True(inTime)
 	first := l.wait(0)
-	others = 0.6e6
-	booked := l.takes(0, 100_000)
+	otherTraffic = 0.6e6
+	reserved := l.duration(0, 100_000)
 	_, inTime = l.reserve(0, 100_000, time.Minute)
 	is.True(inTime)
-	others = 0
-	l.amend(0, -booked)
+	otherTraffic = 0
+	l.adjust(0, -reserved)
 	is.Equal(l.wait(0), first)
 }
 
-// The time that an answer may take on its way to another node is what the call has left when it is known.
-func TestAnswerIsPacedWithinWhatIsLeft(t *testing.T) {
+// The transfer time of a response must be limited to the time that the call has left.
+func TestResponseTransferTimeFitsRemainingTime(t *testing.T) {
 	is := is.New(t)
 	r := newCall(t, "GET", "x", exchange.HeaderTarget, "1000", "Left-Ms", "2100")
-	g := gateOnLink(t, 1)
-	is.Equal(g.answerTime(r, 0), time.Second)
-	is.Equal(g.answerTime(r, 600*time.Millisecond), 500*time.Millisecond) // a third of what is left
-	is.Equal(g.answerTime(r, 5*time.Second), time.Duration(0))
+	g := newGateWithLink(t, 1)
+	is.Equal(g.transferTime(r, 0), time.Second)
+	is.Equal(g.transferTime(r, 600*time.Millisecond), 500*time.Millisecond) // a third of the time left
+	is.Equal(g.transferTime(r, 5*time.Second), time.Duration(0))
 }
--- a/pkg/gate/quarantine.go
+++ b/pkg/gate/quarantine.go
@@ -7,25 +7,25 @@
 	"bramblelift/pkg/quarantine"
 )
 
-// look returns what is known of a call. Every call comes here, and nearly always there are no
-// suspects: not even the way is worked out then.
-func (g *Gate) look(r *http.Request, body *exchange.Body, granted admittance) quarantine.Match {
+// matchQuarantine returns what is known of a call's request. It is called for every call, so it
+// returns early in the usual case of no suspects.
+func (g *Gate) matchQuarantine(r *http.Request, body *exchange.Body, adm admission) quarantine.Match {
 	if g.config.Quarantine.Empty() {
 		return quarantine.Match{}
 	}
-	return g.config.Quarantine.Look(r, body.Data(), g.way(r, granted))
+	return g.config.Quarantine.Look(r, body.Data(), g.way(r, adm))
 }
 
-// way is on whose behalf a call goes to the back end.
-func (g *Gate) way(r *http.Request, granted admittance) quarantine.Way {
-	return quarantine.Way{Caller: r.Header.Get(g.config.Headers.Caller), Service: granted.backend.Service}
+// way returns the caller and the service of a call to the back end.
+func (g *Gate) way(r *http.Request, adm admission) quarantine.Way {
+	return quarantine.Way{Caller: r.Header.Get(g.config.Headers.Caller), Service: adm.backend.Service}
 }
 
-// quarantined reports whether a call must not reach the back end. Callers' nodes look before they
-// send; this is the last look, after the call has waited, and for nodes that know less. What it
-// finds is kept with the call, should its back end end.
-func (g *Gate) quarantined(r *http.Request, body *exchange.Body, granted admittance, call *Call) bool {
-	match := g.look(r, body, granted)
+// quarantined reports whether a call must not reach the back end, and records the match in call.
+// Callers' nodes check too; this check covers suspects found while the call waited, and nodes with
+// older state.
+func (g *Gate) quarantined(r *http.Request, body *exchange.Body, adm admission, call *Call) bool {
+	match := g.matchQuarantine(r, body, adm)
 	call.Watched = match.Standing == quarantine.Watched
 	if match.Standing != quarantine.Quarantined {
 		return false
@@ -34,24 +34,24 @@
 	return true
 }
 
-// noteEnded takes in that the back end ended while it had a call. Only now is the call's
-// fingerprint worked out, so that calls which are answered pay nothing for it.
-func (g *Gate) noteEnded(r *http.Request, body *exchange.Body, granted admittance, call *Call) {
+// reportCrash reports that the back end crashed during a call. The fingerprint is computed only
+// here, so that successful calls do not pay for it.
+func (g *Gate) reportCrash(r *http.Request, body *exchange.Body, adm admission, call *Call) {
 	call.Reason, call.Fingerprint = exchange.ReasonEnded, quarantine.Of(r, body.Data())
 	if g.config.OnEnded == nil {
 		return
 	}
-	g.config.OnEnded(quarantine.End{Request: call.Fingerprint, Instance: granted.backend.ID, Way: g.way(r, granted), Watched: call.Watched})
+	g.config.OnEnded(quarantine.End{Request: call.Fingerprint, Instance: adm.backend.ID, Way: g.way(r, adm), Watched: call.Watched})
 }
 
-// noteAnswered takes in that the back end answered.
-func (g *Gate) noteAnswered(r *http.Request, body *exchange.Body, granted admittance, status int) {
+// reportResponse reports that the back end responded to a watched request.
+func (g *Gate) reportResponse(r *http.Request, body *exchange.Body, adm admission, status int) {
 	if g.config.OnAnswered == nil || !exchange.Outlived(status) {
 		return
 	}
-	match := g.look(r, body, granted)
+	match := g.matchQuarantine(r, body, adm)
 	if match.Standing == quarantine.Unsuspected || match.Answered {
 		return
 	}
-	g.config.OnAnswered(quarantine.Answer{Request: match.Request, Way: g.way(r, granted)})
+	g.config.OnAnswered(quarantine.Answer{Request: match.Request, Way: g.way(r, adm)})
 }
--- a/pkg/gate/queue.go
+++ b/pkg/gate/queue.go
@@ -15,19 +15,19 @@
 	work     time.Duration
 	priority int
 	deadline time.Duration
-	version  versionHint
-	// admitted is closed when the call may go on, dropped when it must not.
+	hint     versionHint
+	// admitted is closed when the call is admitted, dropped when it is rejected.
 	admitted chan struct{}
 	dropped  chan struct{}
-	// reason is why it was dropped; it is set before dropped is closed.
+	// reason is why it was rejected; it is set before dropped is closed.
 	reason exchange.Reason
-	// granted is set before admitted is closed.
-	granted admittance
-	index   int
+	// admission is set before admitted is closed.
+	admission admission
+	index     int
 }
 
-// waitQueue orders waiters: those that can still be answered within their target latency first,
-// since a late answer is worth little to its caller; then by priority, then by deadline.
+// waitQueue is a heap of queued calls: first those that can still meet their target latency, since
+// late responses are worth little to their callers; then by priority, then by deadline.
 type waitQueue []*waiter
 
 func (q waitQueue) before(a, b *waiter) bool {
@@ -68,7 +68,7 @@
 	return last
 }
 
-// ahead counts the waiters that go before another.
+// ahead returns the number of calls that would be admitted before other.
 func (q waitQueue) ahead(other *waiter) int {
 	count := 0
 	for _, w := range q {
@@ -81,7 +81,7 @@
 
 func (q *waitQueue) add(w *waiter) { heap.Push(q, w) }
 
-// remove takes a waiter out, if it still waits.
+// remove removes a call and reports whether it was still queued.
 func (q *waitQueue) remove(w *waiter) bool {
 	if w.index < 0 || w.index >= len(*q) || (*q)[w.index] != w {
 		return false
@@ -90,11 +90,11 @@
 	return true
 }
 
-// firstInTime is first for the call that goes on now: one that became late while it waited gives
-// way to those that did not.
-func (q *waitQueue) firstInTime(now time.Duration) *waiter {
+// popFirstInTime is popFirst, but moves calls that became late while queued behind those that did
+// not.
+func (q *waitQueue) popFirstInTime(now time.Duration) *waiter {
 	for {
-		w := q.first()
+		w := q.popFirst()
 		if w == nil || w.late || w.lateAt == 0 || now <= w.lateAt {
 			return w
 		}
@@ -103,7 +103,8 @@
 	}
 }
 
-func (q *waitQueue) first() *waiter {
+// popFirst removes and returns the first call, nil if the queue is empty.
+func (q *waitQueue) popFirst() *waiter {
 	if len(*q) == 0 {
 		return nil
 	}
--- a/pkg/gate/queue_test.go
+++ b/pkg/gate/queue_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// A call that is late anyway does not make others late, whatever its priority.
-func TestCallsThatAreNotLateGoFirst(t *testing.T) {
+// A call that is late already must not delay others, whatever its priority.
+func TestCallsInTimeAreOrderedBeforeLateOnes(t *testing.T) {
 	is := is.New(t)
 	var q waitQueue
 	late := &waiter{late: true, priority: 0, deadline: time.Second}
@@ -19,8 +19,8 @@
 	}
 	is.Equal(q.ahead(late), 2)
 	is.Equal(q.ahead(plain), 1)
-	is.Equal(q.first(), urgent)
-	is.Equal(q.first(), plain)
-	is.Equal(q.first(), late)
-	is.True(q.first() == nil)
+	is.Equal(q.popFirst(), urgent)
+	is.Equal(q.popFirst(), plain)
+	is.Equal(q.popFirst(), late)
+	is.True(q.popFirst() == nil)
 }
--- a/pkg/gate/rate.go
+++ b/pkg/gate/rate.go
@@ -6,35 +6,35 @@
 )
 
 const (
-	// rateWindow is the second over which a rate is kept, and a little more: calls that left further
-	// apart may arrive closer together.
+	// rateWindow is one second plus a margin, since calls may arrive closer together than they were
+	// sent.
 	rateWindow = time.Second + 20*time.Millisecond
-	// evenness is which share of the mean interval two calls are apart at least. Less would let in the
-	// calls of a second at once and none after; the whole would lose the time in which none came.
-	evenness = 0.5
-	// minRate, in calls a second, keeps the window within an hour.
+	// minSpacing is the minimum time between two calls as a share of the mean interval. Less would
+	// admit the calls of a second as one burst; the full interval would lose unused time.
+	minSpacing = 0.5
+	// minRate, in calls per second, keeps the window shorter than an hour, the span of never.
 	minRate = 0.001
-	// maxWindowCalls bounds the memory of a window. No back end that bears more a second is in need of
-	// a bound.
+	// maxWindowCalls limits the memory of a window; back ends with higher rates need no limit.
 	maxWindowCalls = 4096
 )
 
-// slidingRate lets in no more than a number of calls within any window, wherever it begins. Calls that
-// were let in without asking count, too. Its zero value has no bound.
+// slidingRate limits the number of calls in any sliding window. Calls that were admitted without
+// asking count too. The zero value has no limit.
 type slidingRate struct {
-	// starts is a ring of when the latest calls were let in, as many as a window may hold; next is the
-	// oldest of them.
-	starts []time.Duration
-	next   int
-	latest time.Duration
-	// window is over how long the rate is kept: rateWindow, or longer for less than one call in it.
+	// admissions is a ring with the times of the latest calls, as many as a window may hold; next
+	// is the index of the oldest.
+	admissions []time.Duration
+	next       int
+	last       time.Duration
+	// window is the length of the sliding window: rateWindow, or longer for rates below one call
+	// per window.
 	window time.Duration
 }
 
-// never is long enough before the clock's start for any window.
+// never is a time before the start of the clock by more than any window.
 const never = -time.Hour
 
-// setRate changes the rate, in calls a second; zero for no bound. Calls let in before still count.
+// setRate sets the rate in calls per second, zero for no limit. Calls recorded earlier still count.
 func (r *slidingRate) setRate(perSecond float64) {
 	limit := 0
 	r.window = rateWindow
@@ -42,54 +42,54 @@
 		r.window = time.Duration(float64(rateWindow) / math.Min(1, math.Max(perSecond, minRate)))
 		limit = int(math.Max(1, math.Min(maxWindowCalls, math.Floor(perSecond))))
 	}
-	if limit == len(r.starts) {
+	if limit == len(r.admissions) {
 		return
 	}
-	grown := make([]time.Duration, 0, limit)
-	if limit > 0 && len(r.starts) == 0 {
-		r.latest = never
+	resized := make([]time.Duration, 0, limit)
+	if limit > 0 && len(r.admissions) == 0 {
+		r.last = never
 	}
-	// What is no longer known of a longer window is taken for as late as it may have been.
-	for len(grown)+len(r.starts) < limit {
-		grown = append(grown, r.oldest())
+	// Unrecorded calls of a larger window are assumed to be as late as the oldest recorded one.
+	for len(resized)+len(r.admissions) < limit {
+		resized = append(resized, r.oldest())
 	}
-	held := append(append([]time.Duration{}, r.starts[r.next:]...), r.starts[:r.next]...)
-	r.starts = append(grown, held[max(0, len(held)-limit):]...)
+	known := append(append([]time.Duration{}, r.admissions[r.next:]...), r.admissions[:r.next]...)
+	r.admissions = append(resized, known[max(0, len(known)-limit):]...)
 	r.next = 0
 }
 
 func (r *slidingRate) oldest() time.Duration {
-	if len(r.starts) == 0 {
+	if len(r.admissions) == 0 {
 		return never
 	}
-	return r.starts[r.next]
+	return r.admissions[r.next]
 }
 
-// note takes in that a call was let in.
-func (r *slidingRate) note(now time.Duration) {
-	r.latest = now
-	if len(r.starts) == 0 {
+// record adds an admitted call.
+func (r *slidingRate) record(now time.Duration) {
+	r.last = now
+	if len(r.admissions) == 0 {
 		return
 	}
-	r.starts[r.next] = now
-	r.next = (r.next + 1) % len(r.starts)
+	r.admissions[r.next] = now
+	r.next = (r.next + 1) % len(r.admissions)
 }
 
-// openAt is from when on the next call may be let in.
-func (r *slidingRate) openAt() time.Duration {
-	if len(r.starts) == 0 {
+// nextAdmission returns the earliest time at which the next call may be admitted.
+func (r *slidingRate) nextAdmission() time.Duration {
+	if len(r.admissions) == 0 {
 		return never
 	}
-	apart := time.Duration(evenness * float64(r.interval()))
-	return max(r.oldest()+r.window, r.latest+apart)
+	spacing := time.Duration(minSpacing * float64(r.interval()))
+	return max(r.oldest()+r.window, r.last+spacing)
 }
 
-func (r *slidingRate) bounded() bool { return len(r.starts) > 0 }
+func (r *slidingRate) limited() bool { return len(r.admissions) > 0 }
 
-// interval is the mean time between calls, zero for no bound.
+// interval returns the mean time between calls, zero for no limit.
 func (r *slidingRate) interval() time.Duration {
-	if len(r.starts) == 0 {
+	if len(r.admissions) == 0 {
 		return 0
 	}
-	return r.window / time.Duration(len(r.starts))
+	return r.window / time.Duration(len(r.admissions))
 }
--- a/pkg/gate/receive_test.go
+++ b/pkg/gate/receive_test.go
@@ -13,16 +13,16 @@
 	"github.com/matryer/is"
 )
 
-// slowBody is a body whose second half comes when it is let go.
+// slowBody is a body whose second half is sent after resume is closed.
 type slowBody struct {
 	first, second io.Reader
 	started       chan struct{}
-	letGo         chan struct{}
+	resume        chan struct{}
 }
 
 func newSlowBody(size int) *slowBody {
 	half := strings.Repeat("x", size/2)
-	return &slowBody{first: strings.NewReader(half), second: strings.NewReader(half), started: make(chan struct{}), letGo: make(chan struct{})}
+	return &slowBody{first: strings.NewReader(half), second: strings.NewReader(half), started: make(chan struct{}), resume: make(chan struct{})}
 }
 
 // Read implements io.Reader.
@@ -36,12 +36,12 @@
 	default:
 		close(b.started)
 	}
-	<-b.letGo
+	<-b.resume
 	return b.second.Read(buf)
 }
 
-// A body that is long on its way keeps nobody from the back end.
-func TestSlotIsNotHeldWhileABodyComes(t *testing.T) {
+// A call whose body arrives slowly must not hold a slot of the back end.
+func TestSlotIsNotHeldWhileABodyIsReceived(t *testing.T) {
 	is := is.New(t)
 	var bytes int64
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -50,7 +50,7 @@
 		w.Header().Set("Call-Id", r.Header.Get("Call-Id"))
 	}))
 	t.Cleanup(server.Close)
-	g := gateTo(server.Listener.Addr().String(), 1)
+	g := newGateFor(server.Listener.Addr().String(), 1)
 	front := httptest.NewServer(g)
 	t.Cleanup(front.Close)
 	body := newSlowBody(100_000)
@@ -60,42 +60,42 @@
 	for name, value := range map[string]string{"Expect": "100-continue", "Call-Id": "large", "Left-Ms": "5000"} {
 		large.Header.Set(name, value)
 	}
-	answered := make(chan *http.Response, 1)
+	responses := make(chan *http.Response, 1)
 	go func() {
 		response, err := (&http.Transport{ExpectContinueTimeout: time.Minute}).RoundTrip(large)
 		if err == nil {
-			answered <- response
+			responses <- response
 		}
-		close(answered)
+		close(responses)
 	}()
 	<-body.started
-	is.Equal(g.Report().Queued, 1) // senders hear of it
+	is.Equal(g.Report().Queued, 1) // senders see it in the load report
 	small := do(g, newCall(t, "GET", "small"))
 	is.Equal(small.StatusCode, http.StatusOK)
 	small.Body.Close()
-	close(body.letGo)
-	response := <-answered
+	close(body.resume)
+	response := <-responses
 	is.True(response != nil)
 	is.Equal(response.StatusCode, http.StatusOK)
 	is.Equal(bytes, int64(100_000))
 	is.Equal(g.Report().Queued, 0)
 }
 
-// Bodies on their way count as calls to come: no more are let send theirs than can hope for
-// a slot.
-func TestNoMoreBodiesComeThanHaveHope(t *testing.T) {
+// Calls whose bodies are being received must count against the capacity: no more may send a body
+// than can expect a slot.
+func TestBodiesInTransitAreLimitedByExpectedSlots(t *testing.T) {
 	is := is.New(t)
-	g := gateTo("127.0.0.1:1", 2)
-	wanted := request{deadline: time.Hour}
-	is.Equal(g.expectBody(wanted), exchange.Reason(""))
-	is.Equal(g.expectBody(wanted), exchange.Reason(""))
-	is.Equal(g.expectBody(wanted), exchange.ReasonFull)
-	wanted.wait = time.Second
-	is.Equal(g.expectBody(wanted), exchange.Reason(""))
-	g.bodyReceived()
-	g.bodyReceived()
-	g.bodyReceived()
+	g := newGateFor("127.0.0.1:1", 2)
+	req := request{deadline: time.Hour}
+	is.Equal(g.startReceiving(req), exchange.Reason(""))
+	is.Equal(g.startReceiving(req), exchange.Reason(""))
+	is.Equal(g.startReceiving(req), exchange.ReasonFull)
+	req.wait = time.Second
+	is.Equal(g.startReceiving(req), exchange.Reason(""))
+	g.finishReceiving()
+	g.finishReceiving()
+	g.finishReceiving()
 	is.Equal(g.Report().Queued, 0)
 	g.RemoveBackend("b1")
-	is.Equal(g.expectBody(request{instance: "b1", deadline: time.Hour}), exchange.ReasonLeft)
+	is.Equal(g.startReceiving(request{instance: "b1", deadline: time.Hour}), exchange.ReasonLeft)
 }
--- a/pkg/gate/region_test.go
+++ b/pkg/gate/region_test.go
@@ -12,43 +12,43 @@
 	"github.com/matryer/is"
 )
 
-// A node that knows an older configuration sends to a region that must not serve the call any more: neither
-// those that come nor those that wait already reach the back end, and the refusals are true.
-func TestGateRefusesCallsThatItsRegionMayNotServe(t *testing.T) {
+// A call from a node with an older configuration must not reach a back end whose region may not
+// serve it, whether the call is new or queued.
+func TestCallsTheRegionMayNotServeAreRejected(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
-	address, calls := rawBackend(t, func(conn net.Conn, request *http.Request, number int64) bool {
+	address, calls := scriptedBackend(t, func(conn net.Conn, request *http.Request, number int64) bool {
 		if number == 1 {
 			<-release
 		}
-		return answering(conn, request, number)
+		return respondOK(conn, request, number)
 	})
-	g := gateTo(address, 1)
-	var barred atomic.Bool
-	g.config.ServedHere = func(*http.Request) bool { return !barred.Load() }
+	g := newGateFor(address, 1)
+	var forbidden atomic.Bool
+	g.config.ServedHere = func(*http.Request) bool { return !forbidden.Load() }
 	first := make(chan *http.Response)
-	go func() { first <- g.serve(callOf(t, "running", "")) }()
+	go func() { first <- g.serve(callWithBody(t, "running", "")) }()
 	for calls.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	waiting := make(chan *http.Response)
 	go func() {
-		call := callOf(t, "waiting", "")
+		call := callWithBody(t, "waiting", "")
 		exchange.SetMillis(call.Header, exchange.HeaderWait, time.Second)
 		waiting <- g.serve(call)
 	}()
 	for g.Report().Queued == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	barred.Store(true)
-	late := g.serve(callOf(t, "late", ""))
+	forbidden.Store(true)
+	late := g.serve(callWithBody(t, "late", ""))
 	is.Equal(reasonOf(late), exchange.ReasonRegion)
 	is.Equal(late.Header.Get(exchange.HeaderOutcome), string(exchange.NotRun))
 	close(release)
-	is.Equal((<-first).StatusCode, http.StatusOK) // what runs is finished
+	is.Equal((<-first).StatusCode, http.StatusOK) // running calls may finish
 	is.Equal(reasonOf(<-waiting), exchange.ReasonRegion)
 	is.Equal(calls.Load(), int64(1))
 	is.Equal(g.Report().Running, 0)
-	barred.Store(false)
-	is.Equal(g.serve(callOf(t, "again", "")).StatusCode, http.StatusOK)
+	forbidden.Store(false)
+	is.Equal(g.serve(callWithBody(t, "again", "")).StatusCode, http.StatusOK)
 }
--- a/pkg/gate/life_test.go
+++ b/pkg/gate/restart_test.go
@@ -8,21 +8,21 @@
 	"github.com/matryer/is"
 )
 
-// A back end that starts again under its ID has none of the calls of its earlier life at work, and nothing that was
-// learned of that life holds. Calls that are meant for the ID reach it, also after the earlier life had left.
-func TestANextLifeStartsAnew(t *testing.T) {
-	for _, left := range []bool{false, true} {
+// A back end that restarts under its ID must start with no calls in flight and no learned state,
+// and get the calls for its ID even if the previous run had left.
+func TestRestartedBackendHasNoCallsInFlight(t *testing.T) {
+	for _, removed := range []bool{false, true} {
 		is := is.New(t)
-		address, release, calls := holdingBackend(t)
-		let := sync.OnceFunc(func() { close(release) })
-		t.Cleanup(let)
-		g := gateTo(address, 1)
+		address, release, calls := blockingBackend(t)
+		unblock := sync.OnceFunc(func() { close(release) })
+		t.Cleanup(unblock)
+		g := newGateFor(address, 1)
 		go do(g, newCall(t, "GET", "first", "Want", "b1"))
 		for calls.Load() == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		is.Equal(g.Report().Running, 1)
-		if left {
+		if removed {
 			g.RemoveBackend("b1")
 		}
 		g.SetBackend(Backend{ID: "b1", Address: address, Capacity: 1, Incarnation: 2})
@@ -35,11 +35,11 @@
 			time.Sleep(time.Millisecond)
 		}
 		is.Equal(calls.Load(), int64(2))
-		let()
+		unblock()
 		for g.Report().Running > 0 {
 			time.Sleep(time.Millisecond)
 		}
-		g.SetBackend(Backend{ID: "b1", Address: address, Capacity: 2, Incarnation: 2}) // the same life
+		g.SetBackend(Backend{ID: "b1", Address: address, Capacity: 2, Incarnation: 2}) // the same incarnation
 		is.Equal(g.Report().Capacity, 2)
 	}
 }
--- a/pkg/gate/retries.go
+++ b/pkg/gate/retries.go
@@ -1,8 +1,8 @@
 package gate
 
-// RetryShare is the share, from 0 to 1, of the running calls that are retries: they were at another back end
-// before. The calls that the back end makes for these are made for a second time, too, but no one can tell
-// which they are.
+// RetryShare returns the share, from 0 to 1, of the running calls that another back end received
+// before. Calls that the back end makes on their behalf are repeated as well, but cannot be
+// identified.
 func (g *Gate) RetryShare() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/pkg/gate/retries_test.go
+++ b/pkg/gate/retries_test.go
@@ -11,14 +11,14 @@
 	"github.com/matryer/is"
 )
 
-func TestShareOfRepeatsAtWork(t *testing.T) {
+func TestRetryShareCountsRunningRetries(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
-	address, calls := rawBackend(t, func(conn net.Conn, request *http.Request, number int64) bool {
+	address, calls := scriptedBackend(t, func(conn net.Conn, request *http.Request, number int64) bool {
 		<-release
-		return answering(conn, request, number)
+		return respondOK(conn, request, number)
 	})
-	g := gateTo(address, 2)
+	g := newGateFor(address, 2)
 	is.Equal(g.RetryShare(), 0.0)
 	done := make(chan int, 3)
 	for _, header := range [][]string{{}, {exchange.HeaderRetry, "1"}, {exchange.HeaderRetry, "1", exchange.HeaderWait, "1000"}} {
--- a/pkg/gate/sender.go
+++ b/pkg/gate/sender.go
@@ -6,22 +6,22 @@
 	"bramblelift/pkg/exchange"
 )
 
-// Sender returns what calls that leave the node say of the back end beside it, empty while that
-// has no free slot or is cold: nodes hear of such back ends often enough, by asking them.
+// Sender returns the load of the back end beside the node for outgoing calls to carry, empty while
+// the back end has no free slot or is cold.
 func (g *Gate) Sender() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.config.Now()
-	free := g.present && !g.stopping && g.closing.reason == "" && g.running < g.backend.Capacity && len(g.queue) == 0 &&
-		g.cold.remaining(now) == 0 && g.refusesVersion(now) == ""
+	free := g.present && !g.stopping && g.closed.reason == "" && g.running < g.backend.Capacity && len(g.queue) == 0 &&
+		g.cold.remaining(now) == 0 && g.versionRejectReason(now) == ""
 	if !free {
 		return ""
 	}
 	return exchange.Sender{ID: g.backend.ID, Report: g.report()}.String()
 }
 
-// hearSender takes in what a call says of the back end beside its sender.
-func (g *Gate) hearSender(header http.Header) {
+// reportSender passes the load of the back end beside a call's sender to OnSender.
+func (g *Gate) reportSender(header http.Header) {
 	if g.config.OnSender == nil {
 		return
 	}
--- a/pkg/gate/sender_test.go
+++ b/pkg/gate/sender_test.go
@@ -11,33 +11,34 @@
 	"github.com/matryer/is"
 )
 
-// What a call says of the back end beside its sender is heard, whatever becomes of the call.
-func TestGateHearsOfTheSendersBackEnd(t *testing.T) {
+// The load of the back end beside a call's sender must be reported, whether or not the call is
+// admitted.
+func TestSenderHeaderIsReportedForEveryCall(t *testing.T) {
 	is := is.New(t)
-	heard := map[string]exchange.Sender{}
+	reported := map[string]exchange.Sender{}
 	g := New(Config{Headers: testHeaders, Now: func() time.Duration { return 0 },
-		OnSender: func(service string, sender exchange.Sender) { heard[service] = sender }})
+		OnSender: func(service string, sender exchange.Sender) { reported[service] = sender }})
 	for _, text := range []string{"b7=3,0,4,1500", "", "b8", "b9=3,0,4", "=3,0,4,1500"} {
 		r := httptest.NewRequest(http.MethodGet, "http://gate/x", nil)
 		r.Header.Set(exchange.HeaderSender, text)
 		r.Header.Set(testHeaders.Caller, "orders")
 		g.ServeHTTP(httptest.NewRecorder(), r)
 	}
-	is.Equal(heard, map[string]exchange.Sender{
+	is.Equal(reported, map[string]exchange.Sender{
 		"orders": {ID: "b7", Report: exchange.Report{Running: 3, Capacity: 4, Service: 1500 * time.Microsecond}},
 	})
 }
 
-// A gate tells of its back end only while that has a free slot.
-func TestSenderTellsOfFreeSlotsOnly(t *testing.T) {
+// A gate must advertise its back end only while that has a free slot.
+func TestSenderIsEmptyWithoutAFreeSlot(t *testing.T) {
 	is := is.New(t)
 	g := New(Config{Headers: testHeaders, Now: func() time.Duration { return 0 }})
 	is.Equal(g.Sender(), "")
 	g.SetBackend(Backend{ID: "b1", Capacity: 2})
 	is.Equal(g.Sender(), "b1=0,0,2,0")
-	g.grant(0, 0)
+	g.takeSlot(0, 0)
 	is.Equal(g.Sender(), "b1=1,0,2,0")
-	g.grant(0, 0)
+	g.takeSlot(0, 0)
 	is.Equal(g.Sender(), "")
 	g.RemoveBackend("b1")
 	is.Equal(g.Sender(), "")
--- a/pkg/gate/transit.go
+++ b/pkg/gate/transit.go
@@ -10,105 +10,108 @@
 )
 
 const (
-	// transitSpan is for how long the least difference of two clocks is kept, and once more as the one of the
-	// span before: long against the queue of a link, short enough that a clock which stood still is believed
-	// again soon.
-	transitSpan = 10 * time.Second
-	// transitSlack is what a call may take longer than another without being called late: it covers the whole
-	// milliseconds of the header and the scheduling of both processes.
-	transitSlack = 20 * time.Millisecond
+	// transitWindow is how long the minimum clock difference of a process is tracked; the previous
+	// window's counts too. It is long compared with the queue of a link, and short enough to
+	// recover soon from a clock that stopped.
+	transitWindow = 10 * time.Second
+	// transitTolerance is the delay that is ignored: it covers the header's millisecond resolution
+	// and the scheduling of both processes.
+	transitTolerance = 20 * time.Millisecond
 )
 
-// transit knows by how much calls were longer on their way than the quickest ones of the same process lately.
-// What a call says of the time that it has left does not shrink while it waits on a link. The closing of its
-// connection waits on the same link behind it, so only its age tells that nobody waits for it any more. It is
-// safe for concurrent use; its zero value knows nothing.
-type transit struct {
-	mu        sync.Mutex
-	processes map[uint32]*clockOffset
-	spanEnds  time.Duration
+// transitTracker measures how much longer calls took to arrive than the fastest recent calls of the
+// same process. The time left in a call's header does not shrink while the call is queued on a link,
+// so only this delay shows that it has expired. It is safe for concurrent use; the zero value is
+// empty.
+type transitTracker struct {
+	mu         sync.Mutex
+	processes  map[uint32]*clockOffset
+	windowEnds time.Duration
 }
 
-// clockOffset is the least difference between the gate's clock and that of a process in this span and in the
-// one before, which includes the least time on the way.
+// clockOffset holds the minimum difference between the gate's clock and that of a process in the
+// current and the previous window, including the minimum transit time.
 type clockOffset struct {
-	least, before         time.Duration
-	hasLeast, hasPrevious bool
+	current, previous       time.Duration
+	hasCurrent, hasPrevious bool
 }
 
-// late takes in when a call was sent and came, and returns how late it came.
-func (t *transit) late(now time.Duration, sent exchange.Sent) time.Duration {
+// delay records when a call was sent and arrived, and returns its transit delay, zero within the
+// tolerance.
+func (t *transitTracker) delay(now time.Duration, sent exchange.Sent) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.turn(now)
+	t.rotate(now)
 	offset := t.processes[sent.Process]
 	if offset == nil {
 		offset = &clockOffset{}
 		t.processes[sent.Process] = offset
 	}
-	late := offset.note(now - sent.At)
-	if late <= transitSlack {
+	delay := offset.record(now - sent.At)
+	if delay <= transitTolerance {
 		return 0
 	}
-	return late
+	return delay
 }
 
-// turn begins a new span, and forgets the processes that were silent for two; the mutex is held.
-func (t *transit) turn(now time.Duration) {
-	if t.processes != nil && now < t.spanEnds {
+// rotate starts a new window and forgets the processes without calls in the last two. t.mu must be
+// held.
+func (t *transitTracker) rotate(now time.Duration) {
+	if t.processes != nil && now < t.windowEnds {
 		return
 	}
-	if t.processes == nil || now >= t.spanEnds+transitSpan {
+	if t.processes == nil || now >= t.windowEnds+transitWindow {
 		t.processes = map[uint32]*clockOffset{}
 	}
-	t.spanEnds = now + transitSpan
-	maps.DeleteFunc(t.processes, func(_ uint32, o *clockOffset) bool { return !o.hasLeast })
+	t.windowEnds = now + transitWindow
+	maps.DeleteFunc(t.processes, func(_ uint32, o *clockOffset) bool { return !o.hasCurrent })
 	for _, o := range t.processes {
-		o.before, o.hasPrevious, o.hasLeast = o.least, true, false
+		o.previous, o.hasPrevious, o.hasCurrent = o.current, true, false
 	}
 }
 
-// note takes in a difference and returns by how much it is above the least.
-func (o *clockOffset) note(difference time.Duration) time.Duration {
-	if !o.hasLeast || difference < o.least {
-		o.least, o.hasLeast = difference, true
+// record adds a difference and returns its excess over the minimum.
+func (o *clockOffset) record(difference time.Duration) time.Duration {
+	if !o.hasCurrent || difference < o.current {
+		o.current, o.hasCurrent = difference, true
 	}
-	least := o.least
+	minimum := o.current
 	if o.hasPrevious {
-		least = min(least, o.before)
+		minimum = min(minimum, o.previous)
 	}
-	return difference - least
+	return difference - minimum
 }
 
-// arrive reads what a call says that comes just now.
-func (g *Gate) arrive(header http.Header, now time.Duration) request {
-	wanted := g.read(header, now)
-	sent, told := exchange.ParseSent(header.Get(exchange.HeaderSent))
-	if !told {
-		return wanted
+// readArrival reads the parameters of a call that arrives at now and subtracts its transit delay.
+func (g *Gate) readArrival(header http.Header, now time.Duration) request {
+	req := g.readRequest(header, now)
+	sent, ok := exchange.ParseSent(header.Get(exchange.HeaderSent))
+	if !ok {
+		return req
 	}
-	if late := g.transit.late(now, sent); late > 0 {
-		wanted.age(late)
-		wanted.aim(now, g.paced(wanted.work))
+	if delay := g.transit.delay(now, sent); delay > 0 {
+		req.subtractTransitDelay(delay)
+		req.setLateness(now, g.adjustedWork(req.work))
 	}
-	return wanted
+	return req
 }
 
-// age takes the time that a call was late on its way from what its sender said is left of it.
-func (r *request) age(late time.Duration) {
-	r.onItsWay = late
-	r.deadline -= late
-	r.wait = max(0, r.wait-late)
-	r.early = max(0, r.early-late)
-	r.targetLeft -= late
+// subtractTransitDelay subtracts the call's transit delay from the times that its sender set.
+func (req *request) subtractTransitDelay(delay time.Duration) {
+	req.transitDelay = delay
+	req.deadline -= delay
+	req.wait = max(0, req.wait-delay)
+	req.earlyWait = max(0, req.earlyWait-delay)
+	req.targetLeft -= delay
 }
 
-// aim works out until when the back end must begin the call, which takes it so long, to be in time.
-func (r *request) aim(now, work time.Duration) {
-	if !r.targeted {
+// setLateness sets when the call becomes late: the latest start from which a service time of work
+// still meets its target.
+func (req *request) setLateness(now, work time.Duration) {
+	if !req.targeted {
 		return
 	}
-	lastStart := r.targetLeft - work
-	r.late = lastStart <= 0
-	r.lateAt = now + max(lastStart, 1)
+	lastStart := req.targetLeft - work
+	req.late = lastStart <= 0
+	req.lateAt = now + max(lastStart, 1)
 }
--- a/pkg/gate/version.go
+++ b/pkg/gate/version.go
@@ -10,76 +10,78 @@
 	"bramblelift/pkg/rollout"
 )
 
-// neverConfirmed is the age of a state that was never confirmed.
+// neverConfirmed is the confirmation age of a state that was never confirmed.
 const neverConfirmed = time.Duration(math.MaxInt64)
 
-// versions is the gate's side of a rollout of its back end's service: it lets calls into the new version
-// only as they are granted, and none into the old one once the new one has taken over. The gate's mutex
-// guards it.
-type versions struct {
-	// rollouts are all that is held.
+// rolloutState is the gate's view of a rollout of its back end's service: the new version gets only
+// granted calls, and the old one none after the rollout has switched to the new one. The gate's
+// mutex guards it.
+type rolloutState struct {
+	// rollouts are the rollouts in the node's state.
 	rollouts []rollout.Rollout
-	// life is drawn anew for each back end: what was let in before is not known.
-	life uint64
-	// current is the newest rollout of the back end's service; held is false if there is none.
+	// processRun is a random ID drawn for each back end. Grants apply to one ID, since the gate
+	// does not know earlier admissions.
+	processRun uint64
+	// current is the newest rollout of the back end's service; known is false if there is none.
 	current rollout.Rollout
-	held    bool
-	// ordinary back ends registered after the rollout had completed: they are no matter of it, and
-	// neither old nor new.
-	ordinary bool
-	tally    *rollout.Tally
+	known   bool
+	// unaffected is set if the rollout had completed when the gate learned of it and brought
+	// another version than that of the back end.
+	unaffected bool
+	tally      *rollout.Tally
 }
 
-// SetRollouts takes in the rollouts in force.
+// SetRollouts sets the rollouts in the node's state.
 func (g *Gate) SetRollouts(list []rollout.Rollout) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.versions.rollouts = list
-	g.followRollout()
+	g.rollout.rollouts = list
+	g.applyRollout()
 }
 
-// setVersion begins anew for another back end; the mutex is held.
-func (g *Gate) setVersion() {
-	g.versions = versions{rollouts: g.versions.rollouts, life: rand.Uint64()}
-	g.followRollout()
+// resetRollout starts with a new process run for another back end. g.mu must be held.
+func (g *Gate) resetRollout() {
+	g.rollout = rolloutState{rollouts: g.rollout.rollouts, processRun: rand.Uint64()}
+	g.applyRollout()
 }
 
-// followRollout puts the newest rollout of the back end's service in force; the mutex is held.
-func (g *Gate) followRollout() {
-	v := &g.versions
-	i := slices.IndexFunc(v.rollouts, func(r rollout.Rollout) bool { return r.Service == g.backend.Service })
+// applyRollout applies the newest rollout of the back end's service. g.mu must be held.
+func (g *Gate) applyRollout() {
+	s := &g.rollout
+	i := slices.IndexFunc(s.rollouts, func(r rollout.Rollout) bool { return r.Service == g.backend.Service })
 	if i < 0 || !g.present {
-		v.held = false
-		g.watching.Store(false)
+		s.known = false
+		g.rolloutActive.Store(false)
 		return
 	}
-	next := v.rollouts[i]
-	if !v.held || next.Number != v.current.Number {
-		v.tally = &rollout.Tally{}
-		v.ordinary = next.Phase == rollout.Completed && g.backend.Version != next.Version
+	next := s.rollouts[i]
+	if !s.known || next.Number != s.current.Number {
+		s.tally = &rollout.Tally{}
+		s.unaffected = next.Phase == rollout.Completed && g.backend.Version != next.Version
 	}
-	v.current, v.held = next, true
-	g.watching.Store(!next.Phase.Ended())
-	if reason := g.refusesVersion(g.config.Now()); reason != "" {
+	s.current, s.known = next, true
+	g.rolloutActive.Store(!next.Phase.Ended())
+	if reason := g.versionRejectReason(g.config.Now()); reason != "" {
 		g.dropWaiting(reason)
 	}
 }
 
-// refusesVersion returns why the back end's version gets no more calls at the moment; the mutex is held.
-func (g *Gate) refusesVersion(now time.Duration) exchange.Reason {
-	v := &g.versions
-	if !v.held || v.ordinary {
+// versionRejectReason returns why the back end's version currently gets no calls, empty if it does.
+// g.mu must be held.
+func (g *Gate) versionRejectReason(now time.Duration) exchange.Reason {
+	s := &g.rollout
+	if !s.known || s.unaffected {
 		return ""
 	}
-	asked := rollout.Gate{Version: g.backend.Version, Life: v.life, Admitted: v.tally.Admitted(), Confirmed: g.confirmedAge(now), Cold: g.cold.remaining(now) > 0}
-	if asked.Admits(v.current) {
+	state := rollout.Gate{Version: g.backend.Version, Life: s.processRun, Admitted: s.tally.Admitted(), Confirmed: g.confirmationAge(now), Cold: g.cold.remaining(now) > 0}
+	if state.Admits(s.current) {
 		return ""
 	}
 	return exchange.ReasonVersion
 }
 
-// confirmedAge is how long ago the held state was confirmed.
-func (g *Gate) confirmedAge(now time.Duration) time.Duration {
+// confirmationAge returns how long ago the node's state was last confirmed.
+func (g *Gate) confirmationAge(now time.Duration) time.Duration {
 	if g.config.ConfirmedAt == nil {
 		return neverConfirmed
 	}
@@ -90,92 +92,94 @@
 	return now - at
 }
 
-// counted is what a call counts for in a rollout; tally is nil for nothing.
-type counted struct {
+// tallyEntry records where a call counts in a rollout; tally is nil if it does not.
+type tallyEntry struct {
 	tally *rollout.Tally
 	route string
-	// cold is set if the back end was cold then.
+	// cold is set if the back end was cold at admission.
 	cold bool
 }
 
-// grantCounted is grant for a call that may count for a rollout, or be a repeat; the mutex is held.
-func (g *Gate) grantCounted(now, work time.Duration, hint versionHint) admittance {
-	granted := g.grant(now, work)
-	granted.counted = g.noteAdmitted(now, hint)
-	granted.repeat = hint.repeat
-	if hint.repeat {
+// takeCountedSlot is takeSlot for a call that may be a retry, or count in a rollout. g.mu must be
+// held.
+func (g *Gate) takeCountedSlot(now, work time.Duration, hint versionHint) admission {
+	adm := g.takeSlot(now, work)
+	adm.tallyEntry = g.countAdmitted(now, hint)
+	adm.retry = hint.retry
+	if hint.retry {
 		g.retries++
 	}
-	return granted
+	return adm
 }
 
-// noteAdmitted counts a call that is let in; the mutex is held.
-func (g *Gate) noteAdmitted(now time.Duration, hint versionHint) counted {
-	v := &g.versions
-	if !v.held || v.current.Phase.Ended() {
-		return counted{}
+// countAdmitted counts an admitted call in the rollout. g.mu must be held.
+func (g *Gate) countAdmitted(now time.Duration, hint versionHint) tallyEntry {
+	s := &g.rollout
+	if !s.known || s.current.Phase.Ended() {
+		return tallyEntry{}
 	}
-	v.tally.Admit(hint.repeat)
-	return counted{tally: v.tally, route: hint.route, cold: g.cold.remaining(now) > 0}
+	s.tally.Admit(hint.retry)
+	return tallyEntry{tally: s.tally, route: hint.route, cold: g.cold.remaining(now) > 0}
 }
 
-// ended counts what a call that was let in during a rollout came to; the gate's mutex is held.
-func (c counted) ended(end ending, cold bool) {
-	if c.tally == nil {
+// finish counts the outcome of a call that was admitted during a rollout. The gate's mutex must be
+// held.
+func (e tallyEntry) finish(result callResult, cold bool) {
+	if e.tally == nil {
 		return
 	}
 	outcome := rollout.GivenUp
 	switch {
-	case end.failed:
+	case result.failed:
 		outcome = rollout.Failed
-	case end.service > 0:
+	case result.serviceTime > 0:
 		outcome = rollout.Answered
 	}
-	c.tally.End(c.route, outcome, end.service, c.cold || cold)
+	e.tally.End(e.route, outcome, result.serviceTime, e.cold || cold)
 }
 
-// versionHint is what a call says of a rollout that its caller's node knows.
+// versionHint is what a call's headers say of a rollout that the caller's node knows.
 type versionHint struct {
-	// target is the version that the rollout brings, on calls that are meant for it.
+	// target is the new version of the rollout, on calls that are meant for it.
 	target string
 	route  string
-	// repeat is set if another back end had the call before.
-	repeat bool
+	// retry is set if another back end received the call before.
+	retry bool
 }
 
-// unknownRollout reports whether a call is meant for a new version of whose rollout the gate has not heard
-// yet, as after its start: it must not let in what it cannot count; the mutex is held.
+// unknownRollout reports whether a call is meant for a rollout that the gate does not know yet, as
+// after its start. It cannot count such calls and must not admit them. g.mu must be held.
 func (g *Gate) unknownRollout(hint versionHint) bool {
-	return hint.target != "" && hint.target == g.backend.Version && !g.versions.held
+	return hint.target != "" && hint.target == g.backend.Version && !g.rollout.known
 }
 
-// RolloutReport describes the gate while a rollout of its back end's service is under way.
+// RolloutReport describes the gate during a rollout of its back end's service.
 type RolloutReport struct {
 	rollout.Report
-	// AtWork is how many calls the back end works on.
+	// AtWork is the number of calls in flight at the back end.
 	AtWork int
-	// Reopened is set while the gate lets in calls of an old version though it was told to close: it has
-	// lost control since.
+	// Reopened is set while the gate admits calls to an old version that the rollout closes,
+	// because its lease from the control plane has expired.
 	Reopened bool
 }
 
-// RolloutReport returns what the gate has seen of its back end, false if no rollout of its service is
-// under way.
+// RolloutReport returns the gate's counts in the current rollout of its back end's service, false
+// if none is running.
 func (g *Gate) RolloutReport() (RolloutReport, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	v := &g.versions
-	if !g.present || !v.held || v.current.Phase.Ended() {
+	s := &g.rollout
+	if !g.present || !s.known || s.current.Phase.Ended() {
 		return RolloutReport{}, false
 	}
 	now := g.config.Now()
 	report := RolloutReport{AtWork: g.running, Report: rollout.Report{
-		Service: g.backend.Service, Number: v.current.Number, Version: g.backend.Version, Instance: g.backend.ID, Life: v.life,
+		Service: g.backend.Service, Number: s.current.Number, Version: g.backend.Version, Instance: g.backend.ID, Life: s.processRun,
 		Zone: g.backend.Zone,
 		Cold: g.cold.remaining(now) > 0,
 	}}
-	closes := v.current.Phase == rollout.Closing && g.backend.Version != v.current.Version
-	report.Reopened = closes && g.refusesVersion(now) == ""
-	v.tally.Fill(&report.Report)
+	closes := s.current.Phase == rollout.Closing && g.backend.Version != s.current.Version
+	report.Reopened = closes && g.versionRejectReason(now) == ""
+	s.tally.Fill(&report.Report)
 	return report, true
 }
--- a/pkg/gate/wake_test.go
+++ b/pkg/gate/warmedearly_test.go
@@ -9,12 +9,12 @@
 	"github.com/matryer/is"
 )
 
-// A call that waits for the rate goes on as soon as the back end is warm, also if it was said only after the
-// call began to wait that this is sooner than the rate would let it in.
-func TestWaitingCallGoesOnWhenTheBackEndIsWarmSoonerThanItWas(t *testing.T) {
+// A queued call must be admitted when the back end becomes warm, even if that is reported after the
+// call was queued.
+func TestQueuedCallIsAdmittedWhenBackendWarmsEarlier(t *testing.T) {
 	is := is.New(t)
 	b := newColdBackend(t, 0)
-	g := b.gateBeside(1)
+	g := b.newGate(1)
 	g.HeardCold("b1", time.Minute)
 	do(g, newCall(t, "POST", "first")).Body.Close()
 	began := sinceStart()
@@ -28,5 +28,5 @@
 		time.Sleep(time.Millisecond)
 	}
 	g.HeardCold("b1", 100*time.Millisecond)
-	is.True(<-waited < 600*time.Millisecond) // the rate alone would let it in after a second
+	is.True(<-waited < 600*time.Millisecond) // the rate alone would admit it after a second
 }
