--- a/pkg/forward/attempt.go
+++ b/pkg/forward/attempt.go
@@ -15,21 +15,21 @@
 	"bramblelift/pkg/exchange"
 )
 
-// attemptFailure tells how one attempt at a back end failed.
+// attemptFailure describes why one attempt at a back end failed.
 type attemptFailure struct {
 	outcome Outcome
 	peer    string
 	step    string
 	err     error
 	status  int
-	// retryAfter is the back end's wish, zero for none.
+	// retryAfter is what the back end asked for, zero for none.
 	retryAfter time.Duration
 }
 
-// declined reports whether the back end itself said that it has not begun the call.
+// declined reports whether the back end stated that it has not begun the call.
 func (f *attemptFailure) declined() bool { return errors.Is(f.err, errDeclined) }
 
-// refusal tells the caller of this failure, with the outcome of the whole call.
+// refusal converts the failure to a response with the outcome of the whole call.
 func (f *attemptFailure) refusal(outcome Outcome) *Refusal {
 	retryAfter := f.retryAfter
 	if retryAfter == 0 {
@@ -40,15 +40,15 @@
 
 var errDeclined = errors.New("the back end declined the call")
 
-// attempt sends the call to one back end. It returns nil once an answer has begun to
-// reach the caller; from then on an error can only abort the connection.
+// attempt sends the call to one back end. It returns nil once a response has begun to reach the
+// caller; a later error can only abort the caller's connection.
 func (c *call) attempt(ctx context.Context, ticket *balancer.Ticket) *attemptFailure {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
-	request := c.outgoing(httptrace.WithClientTrace(ctx, trace), ticket)
+	request := c.outgoingRequest(httptrace.WithClientTrace(ctx, trace), ticket)
 	response, err := c.service.transport.RoundTrip(request)
 	if err != nil {
-		return c.failed(ctx, ticket, connected.Load(), err)
+		return c.transportFailure(ctx, ticket, connected.Load(), err)
 	}
 	load, draining := readReport(response.Header)
 	ticket.Report(load, draining)
@@ -60,13 +60,13 @@
 			status: http.StatusServiceUnavailable, retryAfter: readRetryAfter(response.Header),
 		}
 	}
-	c.noteAnswered(response.StatusCode)
-	c.pass(ctx, ticket, response)
+	c.reportSurvival(response.StatusCode)
+	c.writeResponse(ctx, ticket, response)
 	return nil
 }
 
-// outgoing builds the request for a back end.
-func (c *call) outgoing(ctx context.Context, ticket *balancer.Ticket) *http.Request {
+// outgoingRequest builds the request for a back end.
+func (c *call) outgoingRequest(ctx context.Context, ticket *balancer.Ticket) *http.Request {
 	incoming := c.request
 	request := &http.Request{
 		Method: incoming.Method, Host: incoming.Host,
@@ -80,7 +80,7 @@
 	exchange.Copy(request.Header, incoming.Header)
 	exchange.RemoveHop(request.Header)
 	if _, set := request.Header["User-Agent"]; !set {
-		// An explicit nil keeps the transport from adding its own.
+		// An explicit nil keeps net/http from adding its own User-Agent.
 		request.Header["User-Agent"] = nil
 	}
 	remaining := max(1, (c.deadline - c.handler.config.Now()).Milliseconds())
@@ -88,7 +88,7 @@
 	if c.attempts > 1 {
 		request.Header.Set(HeaderRetry, "1")
 	}
-	c.markTenant(request.Header)
+	c.setTenantHeader(request.Header)
 	if c.route.Credential != "" {
 		request.Header.Set("Authorization", "Bearer "+c.route.Credential)
 	}
@@ -99,9 +99,9 @@
 	return request.WithContext(ctx)
 }
 
-// failed classifies an error of the transport. Only if no connection was ever had is
-// it certain that the back end has seen nothing.
-func (c *call) failed(ctx context.Context, ticket *balancer.Ticket, connected bool, err error) *attemptFailure {
+// transportFailure classifies a transport error. The outcome is NotRun only if no connection was
+// established.
+func (c *call) transportFailure(ctx context.Context, ticket *balancer.Ticket, connected bool, err error) *attemptFailure {
 	failure := &attemptFailure{outcome: Unknown, peer: ticket.Address, step: "exchange with back end", err: err, status: http.StatusBadGateway}
 	if !connected {
 		failure.outcome = NotRun
@@ -109,7 +109,7 @@
 		failure.status = http.StatusServiceUnavailable
 	}
 	if connected && ctx.Err() == nil {
-		c.noteEnded(ctx, ticket, err)
+		c.reportCrash(ctx, ticket, err)
 	}
 	outcome := balancer.Failed
 	if ctx.Err() != nil {
@@ -123,8 +123,8 @@
 	return failure
 }
 
-// pass copies the answer to the caller.
-func (c *call) pass(ctx context.Context, ticket *balancer.Ticket, response *http.Response) {
+// writeResponse copies the response to the caller.
+func (c *call) writeResponse(ctx context.Context, ticket *balancer.Ticket, response *http.Response) {
 	defer response.Body.Close()
 	c.status = response.StatusCode
 	exchange.RemoveHop(response.Header)
@@ -133,7 +133,7 @@
 		c.writer.Header().Add("Trailer", name)
 	}
 	c.writer.WriteHeader(response.StatusCode)
-	// A body that breaks off must reach the caller as an error: the connection is aborted.
+	// A truncated body must reach the caller as an error, so the connection is aborted.
 	err := exchange.CopyBody(c.writer, response)
 	if err != nil {
 		outcome := balancer.Failed
@@ -141,7 +141,7 @@
 			outcome = balancer.Canceled
 		}
 		ticket.Done(c.handler.config.Now(), outcome)
-		c.handler.tell(c, nil)
+		c.handler.reportCall(c, nil)
 		panic(http.ErrAbortHandler)
 	}
 	for name, values := range response.Trailer {
@@ -150,7 +150,7 @@
 	ticket.Done(c.handler.config.Now(), balancer.Answered)
 }
 
-// isDecline recognises a back end's word that it has not begun the call.
+// isDecline reports whether the back end states that it has not begun the call.
 func isDecline(response *http.Response) bool {
 	declining := response.StatusCode == http.StatusServiceUnavailable || response.StatusCode == http.StatusTooManyRequests
 	return declining && response.Header.Get(HeaderOutcome) == string(NotRun)
--- a/pkg/forward/body.go
+++ b/pkg/forward/body.go
@@ -8,82 +8,82 @@
 	"sync/atomic"
 )
 
-// maxBufferedBody is up to which size a body is kept so that it can be sent again
-// after a refusal that says the call did not run.
+// maxBufferedBody is the size in bytes up to which a body is buffered, so that the call can be
+// retried.
 const maxBufferedBody = 64 << 10
 
-// replayBody holds a call's body. A small one is read whole first; a large one
-// streams, and can be sent again only if nothing was taken from it.
+// replayBody holds a call's body. A small one is read in full first; a large one is streamed and
+// can be sent again only if nothing was read from it.
 type replayBody struct {
-	buffered []byte
-	whole    bool
-	stream   io.Reader
-	taken    atomic.Bool
-	length   int64
+	data        []byte
+	complete    bool
+	stream      io.Reader
+	readStarted atomic.Bool
+	length      int64
 }
 
-// errBodyRead marks that the caller's own body could not be read.
+// errBodyRead reports that the caller's request body could not be read.
 var errBodyRead = errors.New("cannot read the caller's body")
 
 func newReplayBody(r *http.Request) (*replayBody, error) {
 	body := &replayBody{stream: r.Body, length: r.ContentLength}
 	if r.ContentLength == 0 {
-		body.whole = true
+		body.complete = true
 		return body, nil
 	}
 	if r.ContentLength < 0 || r.ContentLength > maxBufferedBody {
 		return body, nil
 	}
-	buffered, err := io.ReadAll(r.Body)
+	data, err := io.ReadAll(r.Body)
 	if err != nil {
 		return nil, errors.Join(errBodyRead, err)
 	}
-	body.buffered = buffered
-	body.whole = true
+	body.data = data
+	body.complete = true
 	return body, nil
 }
 
-// repeatable reports whether the body can be sent once more.
-func (b *replayBody) repeatable() bool { return b.whole || !b.taken.Load() }
+// repeatable reports whether the body can be sent again.
+func (b *replayBody) repeatable() bool { return b.complete || !b.readStarted.Load() }
 
-// reader returns the body for one attempt. It is never http.NoBody and cannot be
-// rewound, which keeps the transport from repeating the request on its own.
+// reader returns the body for one attempt. It is never http.NoBody and cannot be rewound, which
+// keeps the transport from retrying the request.
 func (b *replayBody) reader() io.ReadCloser {
-	if b.whole {
-		return io.NopCloser(bytes.NewReader(b.buffered))
+	if b.complete {
+		return io.NopCloser(bytes.NewReader(b.data))
 	}
 	return io.NopCloser(&trackedReader{body: b})
 }
 
-// trackedReader notes when the transport starts to read.
+// trackedReader records whether the transport started to read.
 type trackedReader struct {
 	body *replayBody
 }
 
 // Read implements io.Reader.
 func (t *trackedReader) Read(buffer []byte) (int, error) {
-	t.body.taken.Store(true)
+	t.body.readStarted.Store(true)
 	return t.body.stream.Read(buffer)
 }
 
-// wholeBody is an answer's body of which the first part, or all, was read already.
-type wholeBody struct {
+// bufferedBody is a response body whose first part, or all of it, has been read.
+type bufferedBody struct {
 	io.Reader
 	closer  io.Closer
 	release func()
-	// whole is set if all of it was read.
-	whole bool
+	// complete is set if the whole body has been read.
+	complete bool
 }
 
-func newWholeBody(data []byte, rest io.Reader, closer io.Closer, release func()) io.ReadCloser {
+func newBufferedBody(data []byte, rest io.Reader, closer io.Closer, release func()) io.ReadCloser {
 	if rest == nil {
-		return wholeBody{bytes.NewReader(data), closer, release, true}
+		return bufferedBody{bytes.NewReader(data), closer, release, true}
 	}
-	return wholeBody{io.MultiReader(bytes.NewReader(data), rest), closer, release, false}
+	return bufferedBody{io.MultiReader(bytes.NewReader(data), rest), closer, release, false}
 }
 
-// Close implements io.Closer.
-func (b wholeBody) Close() error {
+// Close implements io.Closer and releases the buffer.
+func (b bufferedBody) Close() error {
 	b.release()
 	return b.closer.Close()
 }
--- a/pkg/forward/cold.go
+++ b/pkg/forward/cold.go
@@ -10,42 +10,42 @@
 )
 
 const (
-	// maxColdRefusals is how many gates may say that their cold back ends have no room before the call is
-	// refused: when a whole zone or fleet is cold, one gate after the other would say the same.
-	maxColdRefusals = 3
-	// coldRetryDivisor divides the time left: a call that cold back ends refused comes back within that,
-	// since it still needs time for its work.
+	// maxColdRejections is how many gates may reject a call because of a cold back end before the node
+	// rejects it: if a whole zone is cold, all its gates respond alike.
+	maxColdRejections = 3
+	// coldRetryDivisor divides the time left to limit Retry-After for calls that cold back ends
+	// rejected, which leaves time for the call's work.
 	coldRetryDivisor = 2
-	// coldSpread is the part of the time until the first back end is warm over which refused calls are
-	// spread after it, so that they do not all come at that moment.
-	coldSpread = 0.3
+	// coldRetryJitter is the fraction of the time until the first back end is warm over which retries
+	// of rejected calls are spread.
+	coldRetryJitter = 0.3
 )
 
-// noteCold takes in that no back end was chosen, if all are cold.
-func (g *gatedCall) noteCold(err error) {
+// recordAllCold records that no back end could be chosen because all are cold.
+func (g *gatedCall) recordAllCold(err error) {
 	if cold := (*balancer.ColdError)(nil); errors.As(err, &cold) {
-		g.last = exchange.ReasonCold
-		g.warmIn = cold.WarmIn
+		g.lastReason = exchange.ReasonCold
+		g.untilWarm = cold.WarmIn
 	}
 }
 
-// countCold takes in a refusal for a cold back end without room.
-func (g *gatedCall) countCold(report exchange.Report) {
-	g.coldRefusals++
-	if remaining := report.Cold.Remaining; g.warmIn == 0 || remaining < g.warmIn {
-		g.warmIn = remaining
+// recordColdRejection records a rejection by the gate of a cold back end.
+func (g *gatedCall) recordColdRejection(report exchange.Report) {
+	g.coldRejections++
+	if remaining := report.Cold.Remaining; g.untilWarm == 0 || remaining < g.untilWarm {
+		g.untilWarm = remaining
 	}
 }
 
-// tooManyCold reports whether a refusal is the last of cold back ends that the call asks for.
-func (g *gatedCall) tooManyCold(failure *gateFailure) bool {
-	return failure.reason == exchange.ReasonCold && g.coldRefusals >= maxColdRefusals
+// coldLimitReached reports whether the call must not attempt another gate after this cold rejection.
+func (g *gatedCall) coldLimitReached(failure *gateFailure) bool {
+	return failure.reason == exchange.ReasonCold && g.coldRejections >= maxColdRejections
 }
 
-// retryAfterCold is in how long the caller should try again if cold back ends were the reason: not before
-// the first of them is warm, since most of those that come back sooner are refused again.
+// retryAfterCold returns when the caller should retry if cold back ends were the reason. It is not
+// before the first one is warm, unless the call's deadline requires it.
 func (g *gatedCall) retryAfterCold(left time.Duration) time.Duration {
 	pause := left / gateRetryDivisor
-	warm := time.Duration((1 + coldSpread*rand.Float64()) * float64(g.warmIn))
+	warm := time.Duration((1 + coldRetryJitter*rand.Float64()) * float64(g.untilWarm))
 	return max(pause, min(warm, left/coldRetryDivisor))
 }
--- a/pkg/forward/doc.go
+++ b/pkg/forward/doc.go
@@ -1,18 +1,17 @@
-// Package forward answers callers: it matches the route, picks a back end, sends the
-// call there and copies the answer, or refuses.
+// Package forward matches calls to routes, picks a back end, sends the call there and copies the
+// response to the caller, or rejects the call.
 //
-// # What a refusal says
+// # Rejections
 //
-// Every answer that the node makes itself carries HeaderOutcome: "not-run" only where
-// it is certain that no back end has begun the call, "unknown" otherwise. It comes as
-// soon as the node gives up, with Retry-After; it is never held back.
+// Every response that the node generates itself carries HeaderOutcome: "not-run" only if it is
+// certain that no back end has begun the call, "unknown" otherwise. It is sent as soon as the node
+// gives up, with Retry-After where a retry may succeed.
 //
-// # Sending once
+// # Retries
 //
-// A call is sent a second time only if the first is known not to have run (the
-// connection could not be made, or the back end declined it with HeaderOutcome
-// "not-run"), or if it is safe by method and its route is not marked once. The HTTP
-// transport has retries of its own, on connections that turn out dead; it takes a
-// request without a body, or with an Idempotency-Key, for repeatable. Each call that is
-// not safe therefore goes out with a body that the transport cannot rewind.
+// A call is sent a second time only if the first attempt is known not to have run (no connection
+// was made, or the back end declined it with HeaderOutcome "not-run"), or if the call is safe and
+// its route is not marked once. The HTTP transport retries requests without a body or with an
+// Idempotency-Key on broken connections. Each unsafe call therefore goes out with a body that the
+// transport cannot rewind.
 package forward
--- a/pkg/forward/gate_exchange.go
+++ b/pkg/forward/gate_exchange.go
@@ -15,20 +15,20 @@
 	"bramblelift/pkg/wire"
 )
 
-// Bounds of the connections to gates.
+// Parameters of the connections to gates.
 const (
 	gateDialTimeout = 300 * time.Millisecond
 	gateIdleTimeout = 20 * time.Second
-	// gateExpectTimeout is longer than any wait at a gate: a large body is sent only once
-	// the gate has admitted the call.
+	// gateExpectTimeout is longer than any wait at a gate: a large body is sent only after the gate
+	// has admitted the call.
 	gateExpectTimeout = time.Minute
 	gateConnections   = 256
-	// gateBuffer is for reading and for writing on each connection; most calls and answers
-	// fit, and there are hundreds of connections.
+	// gateBuffer is the size in bytes of the read and write buffers of each connection. It is small
+	// because there are hundreds of connections.
 	gateBuffer = 2 << 10
-	// earlyShare of the target latency is within how much a refusal leaves the caller the
-	// time to try again.
-	earlyShare = 5
+	// earlyDivisor divides the target latency to give the time within which a rejection leaves the
+	// caller time to retry.
+	earlyDivisor = 5
 )
 
 func newGateTransport(meter *link.Meter) *http.Transport {
@@ -44,15 +44,15 @@
 	}
 }
 
-// gateFailure is an attempt that brought no answer of the back end.
+// gateFailure describes an attempt that returned no response of the back end.
 type gateFailure struct {
 	reason  exchange.Reason
 	outcome Outcome
 	peer    string
 	err     error
-	// refused is set if the gate itself said so, with its report.
-	refused bool
-	report  exchange.Report
+	// rejected is set if the gate itself responded, with its report.
+	rejected bool
+	report   exchange.Report
 }
 
 func (f *gateFailure) step() string {
@@ -69,13 +69,13 @@
 	return fmt.Sprintf("%s at %s", f.reason, f.peer)
 }
 
-// exchange sends the call to a gate.
-func (g *gatedCall) exchange(ctx context.Context, ticket *balancer.Ticket, wait time.Duration) (*http.Response, *gateFailure) {
-	request := g.outgoingGate(ticket, wait)
-	if g.besideNode(ticket) && g.handler.config.Gate != nil {
-		return g.readGate(ticket, g.handler.config.Gate(request.WithContext(ctx), g.body))
+// sendToGate sends the call to a gate.
+func (g *gatedCall) sendToGate(ctx context.Context, ticket *balancer.Ticket, wait time.Duration) (*http.Response, *gateFailure) {
+	request := g.outgoingGateRequest(ticket, wait)
+	if g.isOwnGate(ticket) && g.handler.config.Gate != nil {
+		return g.readGateResponse(ticket, g.handler.config.Gate(request.WithContext(ctx), g.body))
 	}
-	g.askHeld(ticket, request)
+	g.requestHeldTime(ticket, request)
 	sent := g.now()
 	var delivery exchange.Delivery
 	response, err := g.handler.gates.RoundTrip(request.WithContext(httptrace.WithClientTrace(ctx, delivery.Trace())))
@@ -86,13 +86,13 @@
 		}
 		return nil, failure
 	}
-	g.noteDelay(ticket, sent, response.Header)
-	return g.readGate(ticket, response)
+	g.recordRegionDelay(ticket, sent, response.Header)
+	return g.readGateResponse(ticket, response)
 }
 
-// readGate tells a back end's answer from a gate's refusal, and makes sure that it is whole
-// and the right one.
-func (g *gatedCall) readGate(ticket *balancer.Ticket, response *http.Response) (*http.Response, *gateFailure) {
+// readGateResponse tells a back end's response from a gate's rejection and checks that it is
+// complete and belongs to this call.
+func (g *gatedCall) readGateResponse(ticket *balancer.Ticket, response *http.Response) (*http.Response, *gateFailure) {
 	report, reported := exchange.ReadReport(response.Header)
 	if reported {
 		ticket.ReportGate(g.now(), report)
@@ -101,7 +101,7 @@
 		response.Body.Close()
 		return nil, &gateFailure{
 			reason: exchange.Reason(response.Header.Get(exchange.HeaderReason)), outcome: Outcome(outcome),
-			peer: ticket.Address, refused: true, report: report,
+			peer: ticket.Address, rejected: true, report: report,
 		}
 	}
 	name := g.handler.config.Headers.RequestID
@@ -117,12 +117,12 @@
 	if rest == nil && response.ContentLength < 0 {
 		response.ContentLength = int64(len(data))
 	}
-	response.Body = newWholeBody(data, rest, response.Body, release)
+	response.Body = newBufferedBody(data, rest, response.Body, release)
 	return response, nil
 }
 
-// outgoingGate builds the request for a gate.
-func (g *gatedCall) outgoingGate(ticket *balancer.Ticket, wait time.Duration) *http.Request {
+// outgoingGateRequest builds the request for a gate.
+func (g *gatedCall) outgoingGateRequest(ticket *balancer.Ticket, wait time.Duration) *http.Request {
 	incoming := g.request
 	headers := g.handler.config.Headers
 	request := exchange.NewOutgoing(incoming, ticket.Address)
@@ -133,32 +133,32 @@
 	exchange.SetMillis(request.Header, headers.Deadline, max(time.Millisecond, g.deadline-g.now()))
 	request.Header.Set(headers.ExpectedInstance, ticket.ID)
 	request.Header.Set(headers.Caller, g.handler.config.Service)
-	g.markTenant(request.Header)
+	g.setTenantHeader(request.Header)
 	request.Header.Set(exchange.HeaderPriority, strconv.Itoa(g.rank()))
 	exchange.SetMillis(request.Header, exchange.HeaderWait, wait)
-	if !g.besideNode(ticket) {
-		request.Header.Set(exchange.HeaderSent, exchange.Sent{Process: g.handler.process, At: g.now()}.String())
+	if !g.isOwnGate(ticket) {
+		request.Header.Set(exchange.HeaderSent, exchange.Sent{Process: g.handler.clockID, At: g.now()}.String())
 	}
 	if target := g.route.TargetLatency; target > 0 {
 		exchange.SetMillis(request.Header, exchange.HeaderTarget, g.targetLeft(g.now()))
-		exchange.SetMillis(request.Header, exchange.HeaderEarly, target/earlyShare-(g.now()-g.begun))
+		exchange.SetMillis(request.Header, exchange.HeaderEarly, target/earlyDivisor-(g.now()-g.firstAttemptAt))
 	}
-	request.Header.Set(exchange.HeaderExpectedWork, strconv.FormatInt(g.work.Microseconds(), 10))
-	if g.largeAnswer() {
-		request.Header.Set(exchange.HeaderExpectedAnswer, strconv.Itoa(g.answerBytes))
+	request.Header.Set(exchange.HeaderExpectedWork, strconv.FormatInt(g.serviceTime.Microseconds(), 10))
+	if g.largeResponse() {
+		request.Header.Set(exchange.HeaderExpectedAnswer, strconv.Itoa(g.responseBytes))
 	}
 	if g.attempts > 0 {
 		request.Header.Set(exchange.HeaderRetry, "1")
 	}
-	if sender := g.sender(ticket); sender != "" {
+	if sender := g.senderReport(ticket); sender != "" {
 		request.Header.Set(exchange.HeaderSender, sender)
 	}
-	g.headVersion(request.Header, ticket)
+	g.setRolloutHeaders(request.Header, ticket)
 	g.body.Attach(request, incoming.ContentLength)
-	if g.body.Size() > largeBody {
+	if g.body.Size() > largeBodyBytes {
 		request.Header.Set("Expect", "100-continue")
-		if !g.besideNode(ticket) {
-			request.Body = g.handler.config.Pacer.Body(request.Body, g.body.Size(), g.bodyTime())
+		if !g.isOwnGate(ticket) {
+			request.Body = g.handler.config.Pacer.Body(request.Body, g.body.Size(), g.bodyTransferTime())
 		}
 	}
 	if g.body.Empty() && g.safe {
@@ -167,10 +167,10 @@
 	return request
 }
 
-// sender is what the call says of the back end beside the node, empty for nothing. On a free link
-// gates are asked for free slots.
-func (g *gatedCall) sender(ticket *balancer.Ticket) string {
-	if g.handler.config.Sender == nil || !g.linkBusy || g.besideNode(ticket) {
+// senderReport returns the load report of the back end beside the node that is sent with the call,
+// empty for none. It is sent only while the link is busy.
+func (g *gatedCall) senderReport(ticket *balancer.Ticket) string {
+	if g.handler.config.Sender == nil || !g.linkBusy || g.isOwnGate(ticket) {
 		return ""
 	}
 	return g.handler.config.Sender()
--- a/pkg/forward/gated.go
+++ b/pkg/forward/gated.go
@@ -13,72 +13,72 @@
 	"bramblelift/pkg/retry"
 )
 
-// Bounds of calls through gates.
+// Limits and pauses of calls through gates.
 const (
-	// maxGateTries bounds all gates that one call is sent to.
-	maxGateTries = 8
-	// Pauses for which a gate is left out.
+	// maxGateAttempts limits the gates that one call is sent to.
+	maxGateAttempts = 8
+	// Pauses during which a gate is not chosen again.
 	unreachablePause = 700 * time.Millisecond
 	stoppingPause    = 1500 * time.Millisecond
 	absentPause      = 400 * time.Millisecond
-	// evacuatedPause is for how long a gate is left out that said its zone is evacuated while the
-	// node's table does not say so: about as long as an order takes from the one to the other.
+	// evacuatedPause applies to a gate whose zone is evacuated though the node's table does not show
+	// it; it covers the distribution delay of an evacuation.
 	evacuatedPause = 400 * time.Millisecond
 	downPause      = 250 * time.Millisecond
 )
 
-// gatedCall is a call on its way through gates.
+// gatedCall is a call to a service whose back ends have gates.
 type gatedCall struct {
 	*call
 	body *exchange.Body
-	// done are back ends that must not get the call again, full those without a free slot.
-	done []string
-	full []string
-	// tries are the gates that it was sent to, without those that only told that the node is late; asks
-	// are all.
-	tries int
-	asks  int
-	// work is how long the route's calls take at back ends, answerBytes how long their answers
-	// are, zero if not known.
-	work        time.Duration
-	answerBytes int
-	// lastChance is set once the call was let wait at a gate after others were full.
-	lastChance bool
-	// linkBusy is set while asks are dear; throttle, that of the route's calls to the service,
-	// bounds them then and is not used before.
+	// excluded are back ends that must not receive the call again, full those without a free slot.
+	excluded []string
+	full     []string
+	// countedAttempts counts the gates that the call was sent to, without those that rejected it because
+	// the node's configuration is out of date; gateAttempts counts all.
+	countedAttempts int
+	gateAttempts    int
+	// serviceTime is the mean service time of the route's calls, responseBytes the mean size of their
+	// responses; zero if unknown.
+	serviceTime   time.Duration
+	responseBytes int
+	// finalWait is set once the call was allowed to wait at a gate after others were full.
+	finalWait bool
+	// linkBusy is set if the link's load exceeded busyLinkLoad at the latest choice of a gate. throttle then
+	// limits the attempts of the route's calls to the service, and is not used otherwise.
 	linkBusy bool
 	throttle *retry.Throttle
-	// last is why the latest gate refused, linkWait the least wait for its link that one told.
-	last     exchange.Reason
-	linkWait time.Duration
-	version  versionDraw
-	// held is a back end's failure that another attempt may yet make good, nil for none.
-	held *http.Response
-	// coldRefusals counts the gates of cold back ends that had no room, warmIn is after how long the first
-	// back end is warm.
-	coldRefusals int
-	warmIn       time.Duration
+	// lastReason is the latest gate's reason, linkWait the shortest link wait that a gate reported.
+	lastReason exchange.Reason
+	linkWait   time.Duration
+	draw       rolloutDraw
+	// heldResponse is a back end's server error, returned if no later attempt succeeds; nil for none.
+	heldResponse *http.Response
+	// coldRejections counts rejections by gates of cold back ends; untilWarm is the time until the first
+	// of these back ends is warm.
+	coldRejections int
+	untilWarm      time.Duration
 }
 
-// serveThroughGates answers a call of a service whose back ends stand behind gates.
+// serveThroughGates serves a call to a service whose back ends have gates.
 func (c *call) serveThroughGates(timeout time.Duration) *Refusal {
 	body, err := exchange.ReadBody(c.request)
 	if err != nil {
 		return &Refusal{Outcome: NotRun, Step: "request body", Reason: err.Error(), Status: exchange.BodyStatus(err)}
 	}
-	if match := c.look(body.Data()); match.Standing == quarantine.Quarantined {
+	if match := c.matchQuarantine(body.Data()); match.Standing == quarantine.Quarantined {
 		return quarantineRefusal(match)
 	}
-	ctx, cancel := context.WithTimeout(c.request.Context(), timeout-(c.now()-c.started))
+	ctx, cancel := context.WithTimeout(c.request.Context(), timeout-(c.now()-c.arrivedAt))
 	defer cancel()
-	c.service.budget.Attempt(c.started)
+	c.service.budget.Attempt(c.arrivedAt)
 	if share := c.retryShare(); share > 0 {
-		c.service.budget.Charge(c.started, share)
+		c.service.budget.Charge(c.arrivedAt, share)
 	}
 	g := &gatedCall{call: c, body: body}
-	g.drawVersion(c.started)
+	g.drawRollout(c.arrivedAt)
 	for {
-		refusal, again := g.tryOne(ctx)
+		refusal, again := g.attemptGate(ctx)
 		if !again {
 			return refusal
 		}
@@ -87,71 +87,71 @@
 
 func (c *call) now() time.Duration { return c.handler.config.Now() }
 
-// tryOne sends the call to one gate. It returns again if another should be tried, or else
-// the refusal, nil if the call was answered.
-func (g *gatedCall) tryOne(ctx context.Context) (refusal *Refusal, again bool) {
+// attemptGate sends the call to one gate. It returns again if another one should be attempted,
+// otherwise the refusal, nil if the caller has got a response.
+func (g *gatedCall) attemptGate(ctx context.Context) (refusal *Refusal, again bool) {
 	now := g.now()
 	if ctx.Err() != nil {
 		return g.giveUp("deadline", "the time is up"), false
 	}
-	if g.asks > 0 && g.keyRevoked() {
+	if g.gateAttempts > 0 && g.keyRevoked() {
 		return g.giveUpRevoked(), false
 	}
-	g.work, g.answerBytes = g.handler.work.of(g.route.Name)
-	ticket, wait, err := g.choose(now)
+	g.serviceTime, g.responseBytes = g.handler.serviceTime.get(g.route.Name)
+	ticket, wait, err := g.chooseGate(now)
 	if err != nil {
-		g.noteCold(err)
-		return g.giveUp("choose back end", fmt.Sprintf("service %s: %v (%s)", g.target, err, g.last)), false
+		g.recordAllCold(err)
+		return g.giveUp("choose back end", fmt.Sprintf("service %s: %v (%s)", g.targetService, err, g.lastReason)), false
 	}
-	if !g.mayAsk(ticket, now) {
+	if !g.throttleAllows(ticket, now) {
 		ticket.Done(now, balancer.Canceled)
-		return g.giveUp("throttle", g.throttled(now)), false
+		return g.giveUp("throttle", g.throttleReason(now)), false
 	}
-	g.tries++
-	g.asks++
-	response, failure := g.exchange(ctx, ticket, wait)
-	g.noteAsked(ticket, failure)
+	g.countedAttempts++
+	g.gateAttempts++
+	response, failure := g.sendToGate(ctx, ticket, wait)
+	g.updateThrottle(ticket, failure)
 	if failure == nil {
 		g.attempts++
-		g.noteVersion(ticket, exchange.ServerFailed(response.StatusCode))
-		if exchange.ServerFailed(response.StatusCode) && g.mayMakeGood(ctx, ticket, response) {
-			g.tellAttempt(ticket, &gateFailure{reason: exchange.ReasonServerError, peer: ticket.Address}, wait, now, true)
+		g.recordVersionResult(ticket, exchange.ServerFailed(response.StatusCode))
+		if exchange.ServerFailed(response.StatusCode) && g.mayRetryServerError(ctx, ticket, response) {
+			g.reportAttempt(ticket, &gateFailure{reason: exchange.ReasonServerError, peer: ticket.Address}, wait, now, true)
 			return nil, true
 		}
-		g.answer(ticket, response)
+		g.respond(ticket, response)
 		return nil, false
 	}
-	g.last = failure.reason
-	g.learn(ticket, failure)
+	g.lastReason = failure.reason
+	g.recordFailure(ticket, failure)
 	if failure.reason.Reached() {
 		g.attempts++
 		g.record.Note(failure.outcome)
 	}
-	again = g.mayGoOn(ctx, failure)
-	g.tellAttempt(ticket, failure, wait, now, again)
+	again = g.mayAttemptNext(ctx, failure)
+	g.reportAttempt(ticket, failure, wait, now, again)
 	if again {
 		return nil, true
 	}
 	return g.giveUp(failure.step(), failure.text()), false
 }
 
-// mayAsk reports whether a gate is worth asking: while most gates have no room for the route's calls,
-// asking them only fills the link. The gate beside the node costs no message and is always asked.
-func (g *gatedCall) mayAsk(ticket *balancer.Ticket, now time.Duration) bool {
-	return !g.linkBusy || g.besideNode(ticket) || g.throttle.Allow(now, rand.Float64())
+// throttleAllows reports whether to attempt a gate: while most gates are full, attempts only add load
+// to the link. The node's own gate costs no message and is always attempted.
+func (g *gatedCall) throttleAllows(ticket *balancer.Ticket, now time.Duration) bool {
+	return !g.linkBusy || g.isOwnGate(ticket) || g.throttle.Allow(now, rand.Float64())
 }
 
-// throttled says why a gate was not asked.
-func (g *gatedCall) throttled(now time.Duration) string {
-	asked, granted := g.throttle.Counts(now)
+// throttleReason returns the reason for a call that the throttle rejected.
+func (g *gatedCall) throttleReason(now time.Duration) string {
+	attempts, granted := g.throttle.Counts(now)
 	return fmt.Sprintf("service %s: gates refuse most calls of the route (asked=%.1f granted=%.1f link_load=%.2f last=%s)",
-		g.target, asked, granted, g.handler.config.Link.Load(now), g.last)
+		g.targetService, attempts, granted, g.handler.config.Link.Load(now), g.lastReason)
 }
 
-// noteAsked takes in whether the gate had room.
-func (g *gatedCall) noteAsked(ticket *balancer.Ticket, failure *gateFailure) {
+// updateThrottle records whether the gate granted the attempt.
+func (g *gatedCall) updateThrottle(ticket *balancer.Ticket, failure *gateFailure) {
 	switch {
-	case !g.linkBusy || g.besideNode(ticket):
+	case !g.linkBusy || g.isOwnGate(ticket):
 	case failure == nil || failure.reason.Reached():
 		g.throttle.Granted(g.now())
 	case !failure.reason.Busy():
@@ -159,21 +159,21 @@
 	}
 }
 
-// besideNode reports whether a ticket is for the gate beside the node.
-func (g *gatedCall) besideNode(ticket *balancer.Ticket) bool {
+// isOwnGate reports whether a ticket is for the node's own gate.
+func (g *gatedCall) isOwnGate(ticket *balancer.Ticket) bool {
 	return ticket.Address == g.handler.config.GateAddress
 }
 
-// learn keeps what a failure says of the gate.
-func (g *gatedCall) learn(ticket *balancer.Ticket, failure *gateFailure) {
+// recordFailure updates the choice of gates after a failed attempt.
+func (g *gatedCall) recordFailure(ticket *balancer.Ticket, failure *gateFailure) {
 	now := g.now()
-	learned := balancer.Canceled
+	outcome := balancer.Canceled
 	switch failure.reason {
 	case exchange.ReasonFull, exchange.ReasonLink, exchange.ReasonCold:
-		g.learnBusy(ticket, failure)
+		g.recordBusy(ticket, failure)
 	case exchange.ReasonUnreachable:
 		pause := unreachablePause
-		if failure.refused {
+		if failure.rejected {
 			pause = downPause
 		}
 		ticket.Avoid(now, pause)
@@ -187,92 +187,92 @@
 		ticket.Avoid(now, versionPause)
 	case exchange.ReasonEvacuated:
 		ticket.Avoid(now, evacuatedPause)
-		// It costs the call none of its tries: the node is late, and the whole zone may answer so.
-		g.tries--
+		// Not counted as an attempt: the node is out of date, and all gates of the zone may respond alike.
+		g.countedAttempts--
 	case exchange.ReasonRegion:
-		// The node is late here, too, but the gate may serve other calls.
-		g.tries--
+		// Not counted as an attempt either, but the gate may serve other calls.
+		g.countedAttempts--
 	case exchange.ReasonBroken, exchange.ReasonEnded:
 		if g.request.Context().Err() == nil && now < g.deadline {
-			g.noteVersion(ticket, true)
-			learned = balancer.Failed
+			g.recordVersionResult(ticket, true)
+			outcome = balancer.Failed
 		}
 	}
 	if !failure.reason.Busy() {
-		g.done = ticket.LeftOut(g.done)
+		g.excluded = ticket.LeftOut(g.excluded)
 	}
-	g.version.elsewhere = true
-	ticket.Done(now, learned)
+	g.draw.retrying = true
+	ticket.Done(now, outcome)
 }
 
-// learnBusy keeps what a gate says that has no room for the call.
-func (g *gatedCall) learnBusy(ticket *balancer.Ticket, failure *gateFailure) {
+// recordBusy records the report of a gate that is full, cold or whose link is full.
+func (g *gatedCall) recordBusy(ticket *balancer.Ticket, failure *gateFailure) {
 	if failure.reason == exchange.ReasonCold {
-		g.countCold(failure.report)
+		g.recordColdRejection(failure.report)
 	}
-	if told := failure.report.LinkWait; told > 0 && (g.linkWait == 0 || told < g.linkWait) {
-		g.linkWait = told
+	if wait := failure.report.LinkWait; wait > 0 && (g.linkWait == 0 || wait < g.linkWait) {
+		g.linkWait = wait
 	}
-	// The gate beside the node was asked for a short wait only, at no cost: the call may still wait there.
-	if g.tries > 1 || !g.besideNode(ticket) {
+	// The first attempt at the own gate allowed a short wait only, so the call may still wait there.
+	if g.countedAttempts > 1 || !g.isOwnGate(ticket) {
 		g.full = ticket.LeftOut(g.full)
 	}
 }
 
-// canTryAnother reports whether the call has time, tries and its body left for another gate.
-func (g *gatedCall) canTryAnother(ctx context.Context) bool {
-	return ctx.Err() == nil && g.tries < maxGateTries && g.body.Repeatable()
+// canAttemptAnother reports whether time, attempts and the request body allow another gate.
+func (g *gatedCall) canAttemptAnother(ctx context.Context) bool {
+	return ctx.Err() == nil && g.countedAttempts < maxGateAttempts && g.body.Repeatable()
 }
 
-// mayGoOn decides on another gate. Only what reached a back end draws on the budget.
-func (g *gatedCall) mayGoOn(ctx context.Context, failure *gateFailure) bool {
-	if !g.canTryAnother(ctx) {
+// mayAttemptNext decides on another gate. Only attempts that reached a back end use the retry budget.
+func (g *gatedCall) mayAttemptNext(ctx context.Context, failure *gateFailure) bool {
+	if !g.canAttemptAnother(ctx) {
 		return false
 	}
 	if !failure.reason.Reached() {
-		waited := failure.reason.Busy() && (g.lastChance || g.tooManyCold(failure))
+		noMoreWaits := failure.reason.Busy() && (g.finalWait || g.coldLimitReached(failure))
 		final := failure.reason == exchange.ReasonDeadline || failure.reason == exchange.ReasonQuarantined
-		return !waited && !final
+		return !noMoreWaits && !final
 	}
 	if failure.outcome != NotRun && !g.safe {
 		return false
 	}
-	return g.payRepeat()
+	return g.withdrawRetry()
 }
 
-// answer passes the back end's answer to the caller. The back end is done with the call once its
-// answer is here whole: the caller may take its time, or wait for answers before this one.
-func (g *gatedCall) answer(ticket *balancer.Ticket, response *http.Response) {
-	g.dropHeld()
-	work, _ := exchange.ReadMicros(response.Header, exchange.HeaderWork)
+// respond sends the back end's response to the caller. The ticket is done once a buffered response is
+// complete, because the caller may read it slowly.
+func (g *gatedCall) respond(ticket *balancer.Ticket, response *http.Response) {
+	g.closeHeldResponse()
+	serviceTime, _ := exchange.ReadMicros(response.Header, exchange.HeaderWork)
 	if !exchange.ServerFailed(response.StatusCode) {
-		g.handler.work.note(g.route.Name, work, max(0, int(response.ContentLength)))
+		g.handler.serviceTime.record(g.route.Name, serviceTime, max(0, int(response.ContentLength)))
 	}
-	body, _ := response.Body.(wholeBody)
-	if body.whole {
+	body, _ := response.Body.(bufferedBody)
+	if body.complete {
 		ticket.Done(g.now(), balancer.Answered)
 	}
-	err := g.pass(response, g.besideNode(ticket))
-	if !body.whole {
-		ticket.Done(g.now(), learnedFrom(err))
+	err := g.writeResponse(response, g.isOwnGate(ticket))
+	if !body.complete {
+		ticket.Done(g.now(), streamOutcome(err))
 	}
 	if err != nil {
 		g.abort()
 	}
 }
 
-// learnedFrom is what the end of a streamed answer says of its back end.
-func learnedFrom(err error) balancer.Outcome {
+// streamOutcome returns the outcome of a streamed response for the back end's statistics.
+func streamOutcome(err error) balancer.Outcome {
 	if err != nil {
 		return balancer.Canceled
 	}
 	return balancer.Answered
 }
 
-// pass writes an answer to the caller; booked says that the gate beside the node has booked the link for
-// it.
-func (g *gatedCall) pass(response *http.Response, booked bool) error {
-	g.paceAnswer(response, booked)
+// writeResponse sends a response to the caller; reserved is set if the node's own gate has reserved
+// link capacity for it.
+func (g *gatedCall) writeResponse(response *http.Response, reserved bool) error {
+	g.paceResponse(response, reserved)
 	defer response.Body.Close()
 	g.status = response.StatusCode
 	exchange.RemoveHop(response.Header)
@@ -282,32 +282,32 @@
 	return exchange.CopyBody(g.writer, response)
 }
 
-// abort ends the caller's connection: its answer could not be passed on whole.
+// abort closes the caller's connection because the response could not be sent in full.
 func (g *gatedCall) abort() {
-	g.handler.tell(g.call, nil)
+	g.handler.reportCall(g.call, nil)
 	panic(http.ErrAbortHandler)
 }
 
-// mayMakeGood decides whether another back end is asked after one that answered with a
-// failure, and keeps that answer in case none does better.
-func (g *gatedCall) mayMakeGood(ctx context.Context, ticket *balancer.Ticket, response *http.Response) bool {
-	body, _ := response.Body.(wholeBody)
-	if !body.whole || !g.safe || !g.canTryAnother(ctx) || !g.payRepeat() {
+// mayRetryServerError decides whether to retry after a server error, and keeps the response in case
+// no later attempt succeeds.
+func (g *gatedCall) mayRetryServerError(ctx context.Context, ticket *balancer.Ticket, response *http.Response) bool {
+	body, _ := response.Body.(bufferedBody)
+	if !body.complete || !g.safe || !g.canAttemptAnother(ctx) || !g.withdrawRetry() {
 		return false
 	}
-	g.dropHeld()
+	g.closeHeldResponse()
 	g.record.Note(Unknown)
-	g.held = response
-	g.version.elsewhere = true
-	g.done = ticket.LeftOut(g.done)
+	g.heldResponse = response
+	g.draw.retrying = true
+	g.excluded = ticket.LeftOut(g.excluded)
 	ticket.Done(g.now(), balancer.Answered)
 	return true
 }
 
-// payRepeat draws one more arrival at a back end from the route's attempts and the budget. A
-// suspect is not repeated: that might end one more back end.
-func (g *gatedCall) payRepeat() bool {
-	if g.look(g.body.Data()).Standing != quarantine.Unsuspected {
+// withdrawRetry takes one more attempt from the route's limit and the retry budget. A suspect request
+// is not retried, because it might crash another back end.
+func (g *gatedCall) withdrawRetry() bool {
+	if g.matchQuarantine(g.body.Data()).Standing != quarantine.Unsuspected {
 		return false
 	}
 	limit := g.route.MaxAttempts
@@ -317,19 +317,18 @@
 	return g.attempts < limit && g.service.budget.Withdraw(g.now())
 }
 
-func (g *gatedCall) dropHeld() {
-	if g.held != nil {
-		g.held.Body.Close()
+func (g *gatedCall) closeHeldResponse() {
+	if g.heldResponse != nil {
+		g.heldResponse.Body.Close()
 	}
-	g.held = nil
+	g.heldResponse = nil
 }
 
-// giveUp makes the final answer: a back end's failure that was held, if there is one. It
-// says that the call has not run only if that is known of every attempt, and then when to
-// come back.
+// giveUp sends a held server error if there is one, and otherwise returns the refusal. The refusal
+// has Retry-After only if no attempt may have run.
 func (g *gatedCall) giveUp(step, reason string) *Refusal {
-	if g.held != nil {
-		if err := g.pass(g.held, false); err != nil {
+	if g.heldResponse != nil {
+		if err := g.writeResponse(g.heldResponse, false); err != nil {
 			g.abort()
 		}
 		return nil
@@ -347,7 +346,7 @@
 	return refusal
 }
 
-// giveUpRevoked is giveUp for a call whose key was taken away while it was on its way.
+// giveUpRevoked is giveUp for a call whose key was revoked after it arrived.
 func (g *gatedCall) giveUpRevoked() *Refusal {
 	refusal := g.giveUp("key", "the key was taken away")
 	if refusal != nil && refusal.Outcome == NotRun {
@@ -356,14 +355,14 @@
 	return refusal
 }
 
-func (g *gatedCall) tellAttempt(ticket *balancer.Ticket, failure *gateFailure, wait, began time.Duration, again bool) {
+func (g *gatedCall) reportAttempt(ticket *balancer.Ticket, failure *gateFailure, wait, began time.Duration, again bool) {
 	if g.handler.config.OnAttempt == nil {
 		return
 	}
 	now := g.now()
 	g.handler.config.OnAttempt(Attempt{
-		RequestID: g.request.Header.Get(g.handler.config.Headers.RequestID), Route: g.route.Name, Service: g.target,
-		Instance: ticket.ID, Number: g.asks, Reason: failure.reason, Err: failure.err, Report: failure.report,
+		RequestID: g.request.Header.Get(g.handler.config.Headers.RequestID), Route: g.route.Name, Service: g.targetService,
+		Instance: ticket.ID, Number: g.gateAttempts, Reason: failure.reason, Err: failure.err, Report: failure.report,
 		Wait: wait, Elapsed: now - began, Left: g.deadline - now, Retried: again,
 	})
 }
--- a/pkg/forward/gated_test.go
+++ b/pkg/forward/gated_test.go
@@ -27,20 +27,20 @@
 	RequestID: "Call-Id", Deadline: "Left-Ms", ExpectedInstance: "Want", Caller: "From", NotRun: "Not-Run",
 }
 
-// gatedNode is a node whose service stands behind the given gates.
+// gatedNode is a node with one service whose back ends have the given gates.
 type gatedNode struct {
 	*httptest.Server
 	attempts []Attempt
 	stopsAt  atomic.Int64
 }
 
-func newGatedNode(t *testing.T, maxRepeats float64, gates ...string) *gatedNode {
+func newGatedNode(t *testing.T, maxRetries float64, gates ...string) *gatedNode {
 	t.Helper()
-	return newGatedNodeWith(t, func(cfg *Config) { cfg.Retry = retry.Config{Max: maxRepeats * 2} }, slices.Repeat([]string{"z"}, len(gates)), gates...)
+	return newGatedNodeWith(t, func(cfg *Config) { cfg.Retry = retry.Config{Max: maxRetries * 2} }, slices.Repeat([]string{"z"}, len(gates)), gates...)
 }
 
-// newGatedNodeWith is newGatedNode with a changed configuration and the gates' zones; the
-// node's own is z.
+// newGatedNodeWith is newGatedNode with a changed configuration and the gates' zones; the node's own
+// zone is z.
 func newGatedNodeWith(t *testing.T, change func(*Config), zones []string, gates ...string) *gatedNode {
 	t.Helper()
 	n := &gatedNode{}
@@ -58,7 +58,7 @@
 	return n
 }
 
-// gatedState is a state whose only service stands behind gates of zones.
+// gatedState is a state with one service and its gates in the given zones.
 func gatedState(gates, zones []string) *distribution.State {
 	endpoints := map[string]distribution.Endpoint{}
 	for i, gate := range gates {
@@ -94,8 +94,8 @@
 	return response
 }
 
-// standInGate answers by a script and counts the calls.
-func standInGate(t *testing.T, serve http.HandlerFunc) (string, *atomic.Int64) {
+// fakeGate responds with serve and counts the calls.
+func fakeGate(t *testing.T, serve http.HandlerFunc) (string, *atomic.Int64) {
 	t.Helper()
 	var calls atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -106,12 +106,12 @@
 	return server.Listener.Addr().String(), &calls
 }
 
-func serving(w http.ResponseWriter, r *http.Request) {
+func respondOK(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Call-Id", r.Header.Get("Call-Id"))
 	_, _ = io.WriteString(w, "served")
 }
 
-func refusing(reason exchange.Reason, outcome Outcome) http.HandlerFunc {
+func rejectWith(reason exchange.Reason, outcome Outcome) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(exchange.HeaderOutcome, string(outcome))
 		w.Header().Set(exchange.HeaderReason, string(reason))
@@ -119,32 +119,32 @@
 	}
 }
 
-// A gate's refusal is no arrival at a back end: the next one is tried though no repeat is
-// paid for, unsafe calls included.
-func TestRefusalsOfGatesCostNoBudget(t *testing.T) {
+// A gate's rejection is no attempt at a back end: the next gate is attempted with an empty retry
+// budget, also for unsafe calls.
+func TestGateRejectionsDoNotUseTheRetryBudget(t *testing.T) {
 	for _, reason := range []exchange.Reason{exchange.ReasonFull, exchange.ReasonAbsent, exchange.ReasonLeft, exchange.ReasonStopping, exchange.ReasonUnreachable} {
 		t.Run(string(reason), func(t *testing.T) {
 			is := is.New(t)
-			refuser, refused := standInGate(t, refusing(reason, NotRun))
-			server, served := standInGate(t, serving)
-			n := newGatedNode(t, 0, refuser, server)
+			rejecting, rejected := fakeGate(t, rejectWith(reason, NotRun))
+			server, served := fakeGate(t, respondOK)
+			n := newGatedNode(t, 0, rejecting, server)
 			for range 10 {
 				is.Equal(n.call(t, "POST", "/unsafe/x", "body").StatusCode, http.StatusOK)
 			}
 			is.Equal(served.Load(), int64(10))
 			if reason == exchange.ReasonLeft {
-				is.True(refused.Load() <= 1) // and is never asked again
+				is.True(rejected.Load() <= 1) // it is not attempted again
 			}
 		})
 	}
 }
 
-// What may have run is repeated only if that is allowed and paid for.
-func TestUnknownIsRepeatedOnlyIfSafeAndPaidFor(t *testing.T) {
+// An unknown outcome is retried only if the call is safe and the budget allows it.
+func TestUnknownOutcomeIsRetriedOnlyIfSafeAndWithinBudget(t *testing.T) {
 	for name, test := range map[string]struct {
-		path    string
-		repeats float64
-		arrived int64
+		path     string
+		retries  float64
+		attempts int64
 	}{
 		"safe and paid":   {"/safe/x", 5, 2}, // MaxAttempts is 2
 		"safe and broke":  {"/safe/x", 0, 1},
@@ -152,26 +152,25 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			broken := refusing(exchange.ReasonBroken, Unknown)
-			one, first := standInGate(t, broken)
-			two, second := standInGate(t, broken)
-			three, third := standInGate(t, broken)
-			response := newGatedNode(t, test.repeats, one, two, three).call(t, "POST", test.path, "body")
-			is.Equal(response.StatusCode, http.StatusBadGateway) // no promise
+			broken := rejectWith(exchange.ReasonBroken, Unknown)
+			one, first := fakeGate(t, broken)
+			two, second := fakeGate(t, broken)
+			three, third := fakeGate(t, broken)
+			response := newGatedNode(t, test.retries, one, two, three).call(t, "POST", test.path, "body")
+			is.Equal(response.StatusCode, http.StatusBadGateway) // the call may have run
 			is.Equal(outcome(response), string(Unknown))
 			is.Equal(response.Header.Get("Retry-After"), "")
-			is.Equal(first.Load()+second.Load()+third.Load(), test.arrived)
+			is.Equal(first.Load()+second.Load()+third.Load(), test.attempts)
 		})
 	}
 }
 
-// A back end's own word that it has not begun the call lets an unsafe one go on, but it
-// was an arrival.
-func TestDeclinesArePaidFor(t *testing.T) {
+// An unsafe call that a back end declined may be retried, but only within the retry budget.
+func TestDeclinedCallsUseTheRetryBudget(t *testing.T) {
 	is := is.New(t)
-	declining := refusing(exchange.ReasonDeclined, NotRun)
-	one, first := standInGate(t, declining)
-	two, second := standInGate(t, declining)
+	declining := rejectWith(exchange.ReasonDeclined, NotRun)
+	one, first := fakeGate(t, declining)
+	two, second := fakeGate(t, declining)
 	response := newGatedNode(t, 0, one, two).call(t, "POST", "/unsafe/x", "body")
 	is.Equal(response.StatusCode, http.StatusServiceUnavailable)
 	is.Equal(outcome(response), string(NotRun))
@@ -180,10 +179,10 @@
 	is.Equal(first.Load()+second.Load(), int64(3))
 }
 
-// The final answer comes at once, with when to come back.
-func TestFinalRefusalComesAtOnce(t *testing.T) {
+// A rejection is sent without delay and with Retry-After.
+func TestFinalRejectionIsImmediate(t *testing.T) {
 	is := is.New(t)
-	full, _ := standInGate(t, refusing(exchange.ReasonFull, NotRun))
+	full, _ := fakeGate(t, rejectWith(exchange.ReasonFull, NotRun))
 	began := time.Now()
 	response := newGatedNode(t, 5, full).call(t, "GET", "/safe/x", "")
 	is.True(time.Since(began) < 100*time.Millisecond)
@@ -193,8 +192,8 @@
 	is.True(after > 0 && after < 0.4/3)
 }
 
-// A gate that says nothing must not hold the call beyond its route's timeout.
-func TestSilentGateEndsAtTheTimeout(t *testing.T) {
+// Guards against a gate without a response that holds the call beyond its route's timeout.
+func TestSilentGateTimesOut(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -205,7 +204,7 @@
 	is.True(time.Since(began) > 350*time.Millisecond && time.Since(began) < 600*time.Millisecond)
 }
 
-func TestAnswersOfOthersAndCutOnesNeverReachTheCaller(t *testing.T) {
+func TestMismatchedAndTruncatedResponsesAreNotForwarded(t *testing.T) {
 	for name, serve := range map[string]http.HandlerFunc{
 		"another's": func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Call-Id", "other")
@@ -213,24 +212,23 @@
 		},
 		"cut": func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("Content-Length", "100")
-			serving(w, r)
+			respondOK(w, r)
 			panic(http.ErrAbortHandler)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			gate, _ := standInGate(t, serve)
+			gate, _ := fakeGate(t, serve)
 			response := newGatedNode(t, 0, gate).call(t, "GET", "/safe/x", "")
 			is.Equal(response.StatusCode, http.StatusBadGateway)
 		})
 	}
 }
 
-// What callers claim of themselves is not believed, and what only gates are told stays
-// between them.
+// Guards against forged internal headers from callers, and against leaking gate headers to them.
 func TestHeadersOfCallsThroughGates(t *testing.T) {
 	is := is.New(t)
-	gate, _ := standInGate(t, func(w http.ResponseWriter, r *http.Request) {
+	gate, _ := fakeGate(t, func(w http.ResponseWriter, r *http.Request) {
 		is.Equal(r.Header.Get("From"), "shop")
 		is.Equal(r.Header.Get("Want"), "e0")
 		is.Equal(r.Header.Get(exchange.HeaderPriority), "3")
@@ -240,7 +238,7 @@
 		is.Equal(r.Header.Get("Kept"), "yes")
 		is.Equal(r.Header.Get("Dropped"), "")
 		w.Header().Set(exchange.HeaderReport, "1,0,4,1000")
-		serving(w, r)
+		respondOK(w, r)
 	})
 	response := newGatedNode(t, 0, gate).call(t, "GET", "/safe/a%2Fb?x=1&y=%20", "", "Left-Ms", "300", "From", "forged", "Want", "forged",
 		exchange.HeaderPriority, "0", "Kept", "yes", "Dropped", "x", "Connection", "Dropped, Call-Id")
@@ -249,9 +247,9 @@
 	is.Equal(response.Header.Get(exchange.HeaderReport), "")
 }
 
-func TestWhatCallersMayNotSend(t *testing.T) {
+func TestOversizedBodyAndUnknownPathAreRejected(t *testing.T) {
 	is := is.New(t)
-	gate, calls := standInGate(t, serving)
+	gate, calls := fakeGate(t, respondOK)
 	n := newGatedNode(t, 0, gate)
 	is.Equal(n.call(t, "POST", "/unsafe/x", strings.Repeat("x", 100_001)).StatusCode, http.StatusRequestEntityTooLarge)
 	is.Equal(n.call(t, "GET", "/nowhere/x", "").StatusCode, http.StatusNotFound)
@@ -259,10 +257,10 @@
 	is.Equal(n.call(t, "POST", "/unsafe/x", strings.Repeat("x", 100_000)).StatusCode, http.StatusOK)
 }
 
-// A node that stops takes only what it can still answer.
-func TestStoppingNodeRefusesWhatOutlastsIt(t *testing.T) {
+// A stopping node admits only calls that end before it stops.
+func TestStoppingNodeRejectsCallsThatMayOutlastIt(t *testing.T) {
 	is := is.New(t)
-	gate, _ := standInGate(t, serving)
+	gate, _ := fakeGate(t, respondOK)
 	n := newGatedNode(t, 0, gate)
 	n.stopsAt.Store(int64(200 * time.Millisecond))
 	response := n.call(t, "GET", "/safe/x", "")
@@ -271,76 +269,76 @@
 	is.Equal(n.call(t, "GET", "/safe/x", "", "Left-Ms", "50").StatusCode, http.StatusOK)
 }
 
-func failing(w http.ResponseWriter, r *http.Request) {
+func respondError(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Call-Id", r.Header.Get("Call-Id"))
 	w.WriteHeader(http.StatusInternalServerError)
 	_, _ = io.WriteString(w, "failed")
 }
 
-// A back end's failure is made good elsewhere where the call may run again and the budget
-// pays; otherwise the caller gets that answer, unchanged.
-func TestServerErrorsOfSafeCallsAreMadeGood(t *testing.T) {
+// A server error is retried at another gate if the call is safe and the budget allows it; otherwise
+// the caller gets the response unchanged.
+func TestServerErrorsOfSafeCallsAreRetried(t *testing.T) {
 	for _, c := range []struct {
 		name, path   string
-		repeats      float64
+		retries      float64
 		second       http.HandlerFunc
 		status, runs int
 		body         string
 	}{
-		{"safe", "/safe/x", 10, serving, http.StatusOK, 2, "served"},
-		{"unsafe", "/unsafe/x", 10, serving, http.StatusInternalServerError, 1, "failed"},
-		{"budget spent", "/safe/x", 0, serving, http.StatusInternalServerError, 1, "failed"},
-		{"both fail", "/safe/x", 10, failing, http.StatusInternalServerError, 2, "failed"},
-		{"the other is full", "/safe/x", 10, refusing(exchange.ReasonFull, NotRun), http.StatusInternalServerError, 2, "failed"},
-		{"the other breaks", "/safe/x", 10, refusing(exchange.ReasonBroken, Unknown), http.StatusInternalServerError, 2, "failed"},
+		{"safe", "/safe/x", 10, respondOK, http.StatusOK, 2, "served"},
+		{"unsafe", "/unsafe/x", 10, respondOK, http.StatusInternalServerError, 1, "failed"},
+		{"budget spent", "/safe/x", 0, respondOK, http.StatusInternalServerError, 1, "failed"},
+		{"both fail", "/safe/x", 10, respondError, http.StatusInternalServerError, 2, "failed"},
+		{"the other is full", "/safe/x", 10, rejectWith(exchange.ReasonFull, NotRun), http.StatusInternalServerError, 2, "failed"},
+		{"the other breaks", "/safe/x", 10, rejectWith(exchange.ReasonBroken, Unknown), http.StatusInternalServerError, 2, "failed"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			var asked atomic.Int64
+			var received atomic.Int64
 			first := func(w http.ResponseWriter, r *http.Request) {
-				if asked.Add(1) == 1 {
-					failing(w, r)
+				if received.Add(1) == 1 {
+					respondError(w, r)
 					return
 				}
 				c.second(w, r)
 			}
-			a, _ := standInGate(t, first)
-			b, _ := standInGate(t, first)
-			n := newGatedNode(t, c.repeats, a, b)
+			a, _ := fakeGate(t, first)
+			b, _ := fakeGate(t, first)
+			n := newGatedNode(t, c.retries, a, b)
 			response := n.call(t, "GET", c.path, "")
 			body, err := io.ReadAll(response.Body)
 			is.NoErr(err)
 			is.Equal(response.StatusCode, c.status)
 			is.Equal(string(body), c.body)
 			is.Equal(response.Header.Get(exchange.HeaderOutcome), "")
-			if c.name != "the other is full" { // a full gate may be asked twice
-				is.Equal(int(asked.Load()), c.runs)
+			if c.name != "the other is full" { // a full gate may be attempted twice
+				is.Equal(int(received.Load()), c.runs)
 			}
 		})
 	}
 }
 
-// The gate beside the node, asked for a free slot first, may still be the one to wait at: other
+// The own gate, attempted first without waiting, may be attempted again with a wait, since other
 // zones cost more.
-func TestOwnGateMayBeWaitedAt(t *testing.T) {
+func TestCallMayWaitAtTheOwnGateAfterItWasFull(t *testing.T) {
 	is := is.New(t)
 	var waits []string
 	own := func(r *http.Request, _ *exchange.Body) *http.Response {
 		waits = append(waits, r.Header.Get(exchange.HeaderWait))
 		recorder := httptest.NewRecorder()
 		if len(waits) == 1 {
-			refusing(exchange.ReasonFull, NotRun)(recorder, r)
+			rejectWith(exchange.ReasonFull, NotRun)(recorder, r)
 		} else {
-			serving(recorder, r)
+			respondOK(recorder, r)
 		}
 		return recorder.Result()
 	}
-	other, asked := standInGate(t, serving)
+	other, received := fakeGate(t, respondOK)
 	const ownGate = "10.0.0.9:1"
 	n := newGatedNodeWith(t, func(cfg *Config) { cfg.GateAddress, cfg.Gate = ownGate, own }, []string{"z", "other"}, ownGate, other)
 	is.Equal(n.call(t, "GET", "/safe/x", "").StatusCode, http.StatusOK)
 	is.Equal(len(waits), 2)
 	is.Equal(waits[0], "0")
 	is.True(waits[1] != "0")
-	is.Equal(asked.Load(), int64(0))
+	is.Equal(received.Load(), int64(0))
 }
--- a/pkg/forward/handler.go
+++ b/pkg/forward/handler.go
@@ -24,83 +24,83 @@
 	"bramblelift/pkg/settings"
 )
 
-// Bounds of forwarding.
+// Limits and timeouts of forwarding.
 const (
 	maxAttempts = 3
-	// maxPatience bounds how long after its start a call still waits for a free back
-	// end, whatever the number of attempts; it must stay small against any deadline.
-	maxPatience      = 100 * time.Millisecond
-	patienceShare    = 8
+	// maxSlotWait limits how long after its arrival a call waits for a free back end, over all
+	// attempts; slotWaitDivisor limits it to a part of the time until the deadline.
+	maxSlotWait      = 100 * time.Millisecond
+	slotWaitDivisor  = 8
 	dialTimeout      = time.Second
 	idleTimeout      = 30 * time.Second
 	saturatedRetry   = time.Second
 	unavailableRetry = 2 * time.Second
-	// doubtRetry is when to come back to a node that is not sure of its configuration: about
-	// as long as a change of its server takes.
-	doubtRetry = 300 * time.Millisecond
+	// unconfirmedRetry is the Retry-After of a node whose configuration is unconfirmed; it covers a
+	// change of its control server.
+	unconfirmedRetry = 300 * time.Millisecond
 )
 
-// Config sets up a Handler.
+// Config holds the settings and dependencies of a Handler.
 type Config struct {
 	Node string
 	Zone string
-	// Region is that of the zone, empty if regions are not told apart.
+	// Region is the region of the zone, empty if regions are not configured.
 	Region string
-	// Now reads the process's monotonic clock.
+	// Now returns the process's monotonic clock.
 	Now   func() time.Duration
 	Retry retry.Config
-	// Declines bounds retries of calls that a back end declined.
+	// Declines limits retries of calls that a back end declined.
 	Declines retry.Config
-	// OnCall, if set, is told how each call ended.
+	// OnCall, if set, is called after each call.
 	OnCall func(Call)
-	// Headers name the headers of calls; the zero value has defaults.
+	// Headers are the header names of calls; the zero value has defaults.
 	Headers settings.Headers
-	// Service is the service that the node's own callers belong to.
+	// Service is the service of the node's own callers.
 	Service string
-	// GateAddress is where this node's own gate listens, and Gate takes its calls in
-	// place of a connection there, with what is held of their bodies.
+	// GateAddress is the address of the node's own gate. Gate, if set, handles its calls in the process
+	// instead of over a connection, with the buffered part of their bodies.
 	GateAddress string
 	Gate        func(*http.Request, *exchange.Body) *http.Response
-	// Sender, if set, returns what calls to other nodes say of the back end beside this one.
+	// Sender, if set, returns the load report of the back end beside the node for calls to other nodes.
 	Sender func() string
-	// StopsAt, if set, returns when the process ends, zero if it does not: calls that
-	// might last longer are refused.
+	// StopsAt, if set, returns when the process stops, zero if it does not. Calls with a later deadline
+	// are rejected.
 	StopsAt func() time.Duration
-	// ConfirmedAt, if set, returns up to when the table is known to hold everything accepted, false
-	// if that was never known. StaleLimit is how long ago that may be for a path that the table
-	// does not take to be refused for good.
+	// ConfirmedAt, if set, returns when the table was last confirmed to be the newest, false if never.
+	// StaleLimit is the age of that confirmation up to which unknown paths and keys are rejected
+	// permanently; beyond it the caller is asked to retry.
 	ConfirmedAt func() (time.Duration, bool)
 	StaleLimit  time.Duration
-	// Link, if set, counts the bytes of connections to gates.
+	// Link, if set, measures the traffic of connections to gates.
 	Link *link.Meter
-	// Pacer, if set, spreads large bodies over time.
+	// Pacer, if set, paces large request bodies.
 	Pacer *exchange.Pacer
-	// Answers, if set, spreads large answers over time.
+	// Answers, if set, paces large responses.
 	Answers *exchange.Pacer
-	// AnswerBuffer, if set, bounds what is held of large answers.
+	// AnswerBuffer, if set, limits the memory for buffered responses.
 	AnswerBuffer *exchange.AnswerBuffer
-	// Quarantine knows requests that must not reach back ends; nil knows none.
+	// Quarantine matches suspect and quarantined requests; nil matches none.
 	Quarantine *quarantine.Filter
-	// OnEnded and OnAnswered, if set, are told when a back end without a gate ended while it had a
-	// call, and when it answered one that is watched. Gates tell of theirs themselves.
+	// OnEnded, if set, is called when a back end without a gate crashed during a call, OnAnswered when
+	// one responded to a suspect request. Gates report theirs themselves.
 	OnEnded    func(quarantine.End)
 	OnAnswered func(quarantine.Answer)
-	// BackendHost is the address from which the back end beside the node calls, RetryShare the share of its
-	// calls at work that were at another back end before; nil for none.
+	// BackendHost is the source address of calls by the back end beside the node. RetryShare, if set,
+	// returns the share of retries among the calls that are in flight there.
 	BackendHost netip.Addr
 	RetryShare  func() float64
-	// OnCrowding, if set, is told when the way to another region gets crowded or clear, by how much its
-	// delay has risen.
+	// OnCrowding, if set, is called when the congestion of the link to another region changes; rise is
+	// the increase of its delay.
 	OnCrowding func(region string, crowding link.Crowding, rise time.Duration)
-	// Quotas, if set, hold the tenants' limits.
+	// Quotas, if set, enforce the tenants' rate limits.
 	Quotas Quotas
-	// KeysStaleLimit is how old the held state may be for calls that need a key, zero for any age.
+	// KeysStaleLimit is the maximum age of the configuration for calls that need a key, zero for no limit.
 	KeysStaleLimit time.Duration
-	// OnAttempt, if set, is told of each attempt through a gate.
+	// OnAttempt, if set, is called after each attempt at a gate, except one whose response is returned.
 	OnAttempt func(Attempt)
 }
 
-// Attempt describes one attempt through a gate, for logs and metrics.
+// Attempt describes one attempt at a gate, for logs and metrics.
 type Attempt struct {
 	RequestID string
 	Route     string
@@ -117,10 +117,10 @@
 	Retried   bool
 }
 
-// Call describes a finished call, for metrics.
+// Call describes a finished call, for logs and metrics.
 type Call struct {
 	RequestID string
-	// Version is the configuration's, Step and Reason tell where and why it was refused.
+	// Version is the configuration's. Step and Reason state where and why the call was rejected.
 	Version uint64
 	Step    string
 	Reason  string
@@ -135,85 +135,85 @@
 	Duration time.Duration
 }
 
-// service is a pool with its connections.
+// service holds the back ends of a service, their connections and retry budgets.
 type service struct {
 	pool      *balancer.Pool
 	transport *http.Transport
-	// budget pays for retries after failures, declines for those after a back end's
-	// word that it has not begun the call, which cost it next to nothing.
+	// budget limits retries after failures, declines those of calls that a back end declined, which are
+	// cheap for it.
 	budget   *retry.Budget
 	declines *retry.Budget
-	versions versions
+	tracker  rolloutTracker
 }
 
-// view is what calls see: one table with its services, swapped whole.
-type view struct {
+// snapshot is a routing table with its services. It is replaced as a whole.
+type snapshot struct {
 	table    *routing.Table
 	services map[string]*service
 }
 
-// Handler forwards calls by the newest table. It is an http.Handler.
+// Handler forwards calls according to the newest routing table. It is an http.Handler.
 type Handler struct {
-	config Config
-	view   atomic.Pointer[view]
-	mu     sync.Mutex
-	gates  *http.Transport
-	work   *workTimes
-	// asks bounds what gates are asked for that they refuse.
-	asks *throttles
-	// patience tells callers that come back from new ones.
-	patience *patiences
-	far      *farRegions
-	// process marks the handler's clock for gates.
-	process uint32
-}
-
-// New returns a handler that refuses every call until SetTable.
+	config      Config
+	snapshot    atomic.Pointer[snapshot]
+	mu          sync.Mutex
+	gates       *http.Transport
+	serviceTime *serviceTimes
+	// throttles limit attempts at gates that reject most calls.
+	throttles *throttles
+	// callerTimeouts estimate how long ago a retrying caller made its first attempt.
+	callerTimeouts *callerTimeouts
+	regionDelays   *regionDelays
+	// clockID identifies the handler's clock to gates.
+	clockID uint32
+}
+
+// New returns a handler that rejects every call until SetTable.
 func New(config Config) *Handler {
 	if config.Headers.Deadline == "" {
 		config.Headers.Deadline = exchange.HeaderTimeout
 	}
-	h := &Handler{config: config, gates: newGateTransport(config.Link), work: newWorkTimes(), asks: newThrottles(), patience: newPatiences(),
-		far: newFarRegions(config.OnCrowding), process: rand.Uint32()}
+	h := &Handler{config: config, gates: newGateTransport(config.Link), serviceTime: newServiceTimes(), throttles: newThrottles(), callerTimeouts: newCallerTimeouts(),
+		regionDelays: newRegionDelays(config.OnCrowding), clockID: rand.Uint32()}
 	return h
 }
 
-// SetTable swaps the table. Calls under way finish on what they started with.
+// SetTable replaces the routing table. Calls in flight keep the old one.
 func (h *Handler) SetTable(table *routing.Table) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	old := h.view.Load()
-	next := &view{table: table, services: make(map[string]*service, len(table.Services))}
+	old := h.snapshot.Load()
+	next := &snapshot{table: table, services: make(map[string]*service, len(table.Services))}
 	for _, definition := range table.Services {
-		held := old.service(definition.Name)
-		if held == nil {
-			held = h.newService(definition)
+		svc := old.service(definition.Name)
+		if svc == nil {
+			svc = h.newService(definition)
 		}
-		held.pool.Update(h.config.Now(), definition)
-		held.versions.set(h.config.Now(), definition.Rollout)
-		next.services[definition.Name] = held
-	}
-	h.view.Store(next)
-	h.work.keep(table.Has)
-	h.asks.keep(table.Has)
-	h.patience.keep(table.Has)
+		svc.pool.Update(h.config.Now(), definition)
+		svc.tracker.update(h.config.Now(), definition.Rollout)
+		next.services[definition.Name] = svc
+	}
+	h.snapshot.Store(next)
+	h.serviceTime.prune(table.Has)
+	h.throttles.prune(table.Has)
+	h.callerTimeouts.prune(table.Has)
 	h.closeUnused(old, next)
 }
 
-func (v *view) service(name string) *service {
-	if v == nil {
+func (s *snapshot) service(name string) *service {
+	if s == nil {
 		return nil
 	}
-	return v.services[name]
+	return s.services[name]
 }
 
-func (h *Handler) closeUnused(old, next *view) {
+func (h *Handler) closeUnused(old, next *snapshot) {
 	if old == nil {
 		return
 	}
-	for name, held := range old.services {
+	for name, svc := range old.services {
 		if next.services[name] == nil {
-			held.transport.CloseIdleConnections()
+			svc.transport.CloseIdleConnections()
 		}
 	}
 }
@@ -237,37 +237,37 @@
 	}
 }
 
-// Version returns the version in force, zero for none.
+// Version returns the version of the active configuration, zero for none.
 func (h *Handler) Version() uint64 {
-	if current := h.view.Load(); current != nil {
+	if current := h.snapshot.Load(); current != nil {
 		return current.table.Version
 	}
 	return 0
 }
 
-// KnowsService reports whether the table has a service; without a table any may be.
+// KnowsService reports whether the table has the service; true if there is no table.
 func (h *Handler) KnowsService(name string) bool {
-	current := h.view.Load()
+	current := h.snapshot.Load()
 	return current == nil || current.service(name) != nil
 }
 
-// Pools describes the back ends of each service.
+// Pools returns the status of each service's back ends.
 func (h *Handler) Pools() map[string][]balancer.Status {
-	current := h.view.Load()
+	current := h.snapshot.Load()
 	if current == nil {
 		return nil
 	}
 	pools := map[string][]balancer.Status{}
-	for name, held := range current.services {
-		pools[name] = held.pool.Status(h.config.Now())
+	for name, svc := range current.services {
+		pools[name] = svc.pool.Status(h.config.Now())
 	}
 	return pools
 }
 
-// MayRunBeside reports whether a call may be handled beside others of its connection: it may run
-// more than once.
+// MayRunBeside reports whether a call may run concurrently with others of its connection, because
+// it may run more than once.
 func (h *Handler) MayRunBeside(r *http.Request) bool {
-	current := h.view.Load()
+	current := h.snapshot.Load()
 	if current == nil {
 		return false
 	}
@@ -275,66 +275,68 @@
 	return found && mayRepeat(route, r.Method)
 }
 
-// call is one call on its way.
+// call is the state of one call.
 type call struct {
 	handler *Handler
 	writer  http.ResponseWriter
 	request *http.Request
 	route   routing.Route
-	// tenant is whose call it is, nil for nobody's; charged is set once its limit was drawn on.
-	tenant     *routing.Tenant
-	credential credential
-	charged    bool
-	service    *service
-	target     string
-	version    uint64
-	body       *replayBody
-	deadline   time.Duration
-	// watched is set for a call to a back end without a gate that was known as a suspect when it came.
+	// tenant is nil for a call without one; quotaCharged is set once the call was counted by its quota.
+	tenant        *routing.Tenant
+	credential    credential
+	quotaCharged  bool
+	service       *service
+	targetService string
+	version       uint64
+	body          *replayBody
+	deadline      time.Duration
+	// watched is set if the call, to a back end without a gate, matched a suspect when it arrived.
 	watched bool
-	// safe calls may be repeated whatever became of the first attempt.
-	safe     bool
-	attempts int
-	record   Record
-	tried    []string
-	// started is when the call came, begun when its caller is estimated to have first tried.
-	started time.Duration
-	begun   time.Duration
-	status  int
+	// safe calls may be retried whatever the outcome of earlier attempts.
+	safe bool
+	// attempts counts the attempts that reached a back end; without gates also failed connections.
+	attempts    int
+	record      Record
+	excludedIDs []string
+	// arrivedAt is when the node received the call, firstAttemptAt when the caller is estimated to have
+	// made its first attempt.
+	arrivedAt      time.Duration
+	firstAttemptAt time.Duration
+	status         int
 }
 
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	c := &call{handler: h, writer: w, request: r, started: h.config.Now() - pipeline.Waited(r)}
+	c := &call{handler: h, writer: w, request: r, arrivedAt: h.config.Now() - pipeline.Waited(r)}
 	refusal := c.serve()
-	c.returnQuota(refusal)
+	c.refundQuota(refusal)
 	if refusal != nil {
 		refusal.write(w)
 		c.status = refusal.Status
 	}
-	h.tell(c, refusal)
+	h.reportCall(c, refusal)
 }
 
-func (h *Handler) tell(c *call, refusal *Refusal) {
+func (h *Handler) reportCall(c *call, refusal *Refusal) {
 	if h.config.OnCall == nil {
 		return
 	}
-	told := Call{
-		RequestID: c.request.Header.Get(h.config.Headers.RequestID), Version: c.version, Service: c.target,
+	report := Call{
+		RequestID: c.request.Header.Get(h.config.Headers.RequestID), Version: c.version, Service: c.targetService,
 		Route: c.route.Name, Tenant: c.tenantName(), Status: c.status, Attempts: c.attempts,
-		Duration: h.config.Now() - c.started,
+		Duration: h.config.Now() - c.arrivedAt,
 	}
 	if refusal != nil {
-		told.Refused = true
-		told.Outcome = refusal.Outcome
-		told.Step, told.Reason = refusal.Step, refusal.Reason
+		report.Refused = true
+		report.Outcome = refusal.Outcome
+		report.Step, report.Reason = refusal.Step, refusal.Reason
 	}
-	h.config.OnCall(told)
+	h.config.OnCall(report)
 }
 
-// serve answers the call, or returns how it must be refused.
+// serve responds to the call, or returns how it must be rejected.
 func (c *call) serve() *Refusal {
-	current := c.handler.view.Load()
+	current := c.handler.snapshot.Load()
 	if current == nil {
 		return &Refusal{Outcome: NotRun, Step: "configuration", Reason: "the node holds no configuration yet",
 			Status: http.StatusServiceUnavailable, RetryAfter: unavailableRetry}
@@ -345,25 +347,25 @@
 		return c.handler.noRoute()
 	}
 	c.route = route
-	if refusal := c.identify(current.table); refusal != nil {
+	if refusal := c.identifyTenant(current.table); refusal != nil {
 		return refusal
 	}
-	c.target = route.Pick(rand.Float64())
-	c.service = current.services[c.target]
+	c.targetService = route.Pick(rand.Float64())
+	c.service = current.services[c.targetService]
 	c.safe = mayRepeat(route, c.request.Method)
 	timeout := c.timeout()
 	if timeout <= 0 {
 		return &Refusal{Outcome: NotRun, Step: "deadline", Reason: "the deadline has passed", Status: http.StatusGatewayTimeout}
 	}
-	c.deadline = c.started + timeout
-	c.begun = c.started - c.age()
-	if refusal := c.bodyTooLarge(current.table.Limits.MaxBodyBytes); refusal != nil {
+	c.deadline = c.arrivedAt + timeout
+	c.firstAttemptAt = c.arrivedAt - c.age()
+	if refusal := c.limitBody(current.table.Limits.MaxBodyBytes); refusal != nil {
 		return refusal
 	}
 	if refusal := c.outlastsProcess(); refusal != nil {
 		return refusal
 	}
-	if refusal := c.takeQuota(); refusal != nil {
+	if refusal := c.chargeQuota(); refusal != nil {
 		return refusal
 	}
 	if c.service.pool.Gated() {
@@ -374,38 +376,37 @@
 		return &Refusal{Outcome: NotRun, Step: "request body", Reason: err.Error(), Status: http.StatusBadRequest}
 	}
 	c.body = body
-	match := c.look(body.buffered)
+	match := c.matchQuarantine(body.data)
 	if match.Standing == quarantine.Quarantined {
 		return quarantineRefusal(match)
 	}
 	c.watched = match.Standing == quarantine.Watched
 	ctx, cancel := context.WithTimeout(c.request.Context(), timeout)
 	defer cancel()
-	c.service.budget.Attempt(c.started)
-	c.service.declines.Attempt(c.started)
+	c.service.budget.Attempt(c.arrivedAt)
+	c.service.declines.Attempt(c.arrivedAt)
 	return c.attemptUntilDone(ctx)
 }
 
-// noRoute refuses a call that no route takes. A node that has not heard for a while whether its
-// configuration is the newest cannot say that there is none.
+// noRoute rejects a call that matches no route.
 func (h *Handler) noRoute() *Refusal {
-	return h.unlessStale(&Refusal{Outcome: NotRun, Step: "route", Reason: "no route takes this path", Status: http.StatusNotFound})
+	return h.retryableIfStale(&Refusal{Outcome: NotRun, Step: "route", Reason: "no route takes this path", Status: http.StatusNotFound})
 }
 
-// unlessStale turns a refusal for good into one that has the caller ask again, if the configuration may not be the
-// newest.
-func (h *Handler) unlessStale(refusal *Refusal) *Refusal {
+// retryableIfStale turns a permanent rejection into a temporary one if the configuration may be out
+// of date.
+func (h *Handler) retryableIfStale(refusal *Refusal) *Refusal {
 	if h.config.ConfirmedAt == nil {
 		return refusal
 	}
 	if stale, confirmed := h.staleness(); !confirmed || stale > h.config.StaleLimit {
-		refusal.Status, refusal.RetryAfter, refusal.Fractions = http.StatusServiceUnavailable, doubtRetry, true
-		refusal.Reason += " (" + staleText(stale, confirmed) + ")"
+		refusal.Status, refusal.RetryAfter, refusal.Fractions = http.StatusServiceUnavailable, unconfirmedRetry, true
+		refusal.Reason += " (" + formatStaleness(stale, confirmed) + ")"
 	}
 	return refusal
 }
 
-// staleness is how long ago the held state was known to be the newest, false if that was never known.
+// staleness returns the time since the configuration was last confirmed to be the newest, false if never.
 func (h *Handler) staleness() (stale time.Duration, confirmed bool) {
 	if h.config.ConfirmedAt == nil {
 		return 0, false
@@ -414,13 +415,13 @@
 	return h.config.Now() - at, confirmed
 }
 
-func staleText(stale time.Duration, confirmed bool) string {
+func formatStaleness(stale time.Duration, confirmed bool) string {
 	return fmt.Sprintf("confirmed=%t stale=%s", confirmed, stale.Round(time.Millisecond))
 }
 
-// bodyTooLarge refuses a body beyond the bound, zero for none, and keeps one without a
-// length from growing beyond it.
-func (c *call) bodyTooLarge(limit int64) *Refusal {
+// limitBody rejects a body of more than limit bytes, zero for no limit. A body of unknown length is
+// cut off there.
+func (c *call) limitBody(limit int64) *Refusal {
 	if limit == 0 {
 		return nil
 	}
@@ -432,7 +433,7 @@
 	return nil
 }
 
-// outlastsProcess refuses a call that might not be answered before the process ends.
+// outlastsProcess rejects a call that might outlast the process.
 func (c *call) outlastsProcess() *Refusal {
 	if c.handler.config.StopsAt == nil {
 		return nil
@@ -445,28 +446,28 @@
 		Status: http.StatusServiceUnavailable, RetryAfter: minGateRetry, Fractions: true}
 }
 
-// timeout returns the smaller of the caller's patience and the route's timeout.
+// timeout returns the smaller of the caller's and the route's timeout.
 func (c *call) timeout() time.Duration {
-	patience, told := c.callerPatience()
-	if told && patience < c.route.Timeout {
-		return patience
+	requested, ok := c.callerTimeout()
+	if ok && requested < c.route.Timeout {
+		return requested
 	}
 	return c.route.Timeout
 }
 
-// callerPatience is how long the caller says that it waits, false if it does not say.
-func (c *call) callerPatience() (time.Duration, bool) {
+// callerTimeout returns the timeout in the caller's header, false if there is none.
+func (c *call) callerTimeout() (time.Duration, bool) {
 	millis, err := strconv.ParseInt(c.request.Header.Get(c.handler.config.Headers.Deadline), 10, 64)
 	return time.Duration(millis) * time.Millisecond, err == nil
 }
 
-// age is for how long the caller is estimated to have tried before this attempt.
+// age estimates how long before this request the caller made its first attempt.
 func (c *call) age() time.Duration {
-	patience, told := c.callerPatience()
-	if !told {
+	timeout, ok := c.callerTimeout()
+	if !ok {
 		return 0
 	}
-	return c.handler.patience.age(c.route.Name, patience)
+	return c.handler.callerTimeouts.age(c.route.Name, timeout)
 }
 
 // mayRepeat reports whether a call may run more than once.
@@ -495,19 +496,19 @@
 		if !c.mayRetry(ctx, failure) {
 			return failure.refusal(c.record.Refusal())
 		}
-		c.tried = append(c.tried, ticket.ID)
+		c.excludedIDs = append(c.excludedIDs, ticket.ID)
 	}
 }
 
-// acquire gets a back end for the next attempt.
+// acquire waits for a back end for the next attempt.
 func (c *call) acquire(ctx context.Context) (*balancer.Ticket, *Refusal) {
-	waited := c.handler.config.Now() - c.started
-	patience := max(0, min(maxPatience, (c.deadline-c.started)/patienceShare)-waited)
-	ticket, err := c.service.pool.Acquire(ctx.Done(), c.handler.config.Now, patience, c.tried, c.route.Regions)
+	waited := c.handler.config.Now() - c.arrivedAt
+	wait := max(0, min(maxSlotWait, (c.deadline-c.arrivedAt)/slotWaitDivisor)-waited)
+	ticket, err := c.service.pool.Acquire(ctx.Done(), c.handler.config.Now, wait, c.excludedIDs, c.route.Regions)
 	if err == nil {
 		return ticket, nil
 	}
-	refusal := &Refusal{Outcome: c.record.Refusal(), Step: "choose back end", Reason: fmt.Sprintf("service %s: %v", c.target, err),
+	refusal := &Refusal{Outcome: c.record.Refusal(), Step: "choose back end", Reason: fmt.Sprintf("service %s: %v", c.targetService, err),
 		Status: http.StatusServiceUnavailable, RetryAfter: unavailableRetry}
 	if errors.Is(err, balancer.ErrSaturated) {
 		refusal.RetryAfter = saturatedRetry
@@ -515,10 +516,10 @@
 	return nil, refusal
 }
 
-// mayRetry decides on another attempt, and pays for it.
+// mayRetry decides on another attempt and withdraws it from the budget.
 func (c *call) mayRetry(ctx context.Context, failure *attemptFailure) bool {
-	// A suspect is not repeated: that might end one more back end.
-	if c.look(c.body.buffered).Standing != quarantine.Unsuspected || c.keyRevoked() {
+	// A suspect request is not retried, because it might crash another back end.
+	if c.matchQuarantine(c.body.data).Standing != quarantine.Unsuspected || c.keyRevoked() {
 		return false
 	}
 	permitted := MayRetry(Situation{
@@ -535,9 +536,9 @@
 	return c.service.budget.Withdraw(c.handler.config.Now())
 }
 
-// HearOf takes in the report of a service's back end that came with a call from the node beside it.
+// HearOf records the load report of a back end that came with a call from the node beside it.
 func (h *Handler) HearOf(service string, sender exchange.Sender) {
-	if held := h.view.Load().service(service); held != nil {
-		held.pool.HearOf(h.config.Now(), sender)
+	if svc := h.snapshot.Load().service(service); svc != nil {
+		svc.pool.HearOf(h.config.Now(), sender)
 	}
 }
--- a/pkg/forward/handler_test.go
+++ b/pkg/forward/handler_test.go
@@ -21,18 +21,18 @@
 	"github.com/matryer/is"
 )
 
-// node serves one service over the given back ends, with a plain and a once route.
-func node(t *testing.T, addresses ...string) *httptest.Server {
+// startNode serves one service by the given back ends, with a plain route and a once route.
+func startNode(t *testing.T, addresses ...string) *httptest.Server {
 	t.Helper()
 	started := time.Now()
 	handler := New(Config{Node: "n", Now: func() time.Duration { return time.Since(started) }, Retry: retry.DefaultConfig(), Declines: retry.DeclineConfig()})
-	handler.SetTable(table(addresses...))
+	handler.SetTable(newTable(addresses...))
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
 	return server
 }
 
-func table(addresses ...string) *routing.Table {
+func newTable(addresses ...string) *routing.Table {
 	endpoints := distribution.EndpointTable{"s": {}}
 	for i, address := range addresses {
 		id := fmt.Sprintf("e%d", i)
@@ -51,7 +51,7 @@
 	})
 }
 
-// rawBackend answers each connection by a script, byte by byte if it likes.
+// rawBackend serves each connection with a function that may write partial responses.
 func rawBackend(t *testing.T, serve func(conn net.Conn, request *http.Request, number int64) (keep bool)) (address string, requests *atomic.Int64) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -85,7 +85,7 @@
 	}
 }
 
-const okAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 func send(t *testing.T, server *httptest.Server, method, path string, header http.Header, body string) *http.Response {
 	t.Helper()
@@ -102,10 +102,9 @@
 
 func outcome(response *http.Response) string { return response.Header.Get(HeaderOutcome) }
 
-// A back end that answers one call on a kept connection and dies in the next: the
-// standard transport repeats such a call by itself if it counts as replayable, and an
-// Idempotency-Key makes a POST count so.
-func TestTransportNeverRepeatsAnUnsafeCall(t *testing.T) {
+// Guards against the retries of net/http when a kept connection breaks: a POST with an Idempotency-Key
+// counts as replayable there.
+func TestTransportNeverRetriesAnUnsafeCall(t *testing.T) {
 	for name, header := range map[string]http.Header{
 		"plain": {}, "idempotency key": {"Idempotency-Key": {"k"}}, "x idempotency key": {"X-Idempotency-Key": {"k"}},
 	} {
@@ -117,47 +116,46 @@
 						if number > 1 {
 							return false
 						}
-						_, _ = io.WriteString(conn, okAnswer)
+						_, _ = io.WriteString(conn, okResponse)
 						return true
 					})
-					server := node(t, address)
+					server := startNode(t, address)
 					is.Equal(send(t, server, http.MethodPost, path, header, body).StatusCode, http.StatusOK)
 					second := send(t, server, http.MethodPost, path, header, body)
-					is.Equal(outcome(second), string(Unknown)) // it may have run: say so
-					is.Equal(requests.Load(), int64(2))        // and nobody sent it again
+					is.Equal(outcome(second), string(Unknown)) // it may have run
+					is.Equal(requests.Load(), int64(2))        // and was not sent again
 				})
 			}
 		}
 	}
 }
 
-// A GET of a once route must not be repeated either, whatever its method says.
-func TestOnceRouteIsNeverRepeated(t *testing.T) {
+// Guards against retrying a GET of a once route because its method is safe.
+func TestOnceRouteIsNeverRetried(t *testing.T) {
 	is := is.New(t)
-	die := func(net.Conn, *http.Request, int64) bool { return false }
-	first, firstRequests := rawBackend(t, die)
-	second, secondRequests := rawBackend(t, die)
-	response := send(t, node(t, first, second), http.MethodGet, "/once/x", nil, "")
+	crash := func(net.Conn, *http.Request, int64) bool { return false }
+	first, firstRequests := rawBackend(t, crash)
+	second, secondRequests := rawBackend(t, crash)
+	response := send(t, startNode(t, first, second), http.MethodGet, "/once/x", nil, "")
 	is.Equal(outcome(response), string(Unknown))
 	is.Equal(firstRequests.Load()+secondRequests.Load(), int64(1))
 }
 
-func TestSafeCallIsRepeatedElsewhere(t *testing.T) {
+func TestSafeCallIsRetriedAtAnotherBackEnd(t *testing.T) {
 	is := is.New(t)
-	dying, _ := rawBackend(t, func(net.Conn, *http.Request, int64) bool { return false })
+	crashing, _ := rawBackend(t, func(net.Conn, *http.Request, int64) bool { return false })
 	good, _ := rawBackend(t, func(conn net.Conn, request *http.Request, _ int64) bool {
-		_, _ = io.WriteString(conn, okAnswer)
+		_, _ = io.WriteString(conn, okResponse)
 		return true
 	})
-	server := node(t, dying, good)
+	server := startNode(t, crashing, good)
 	for range 10 {
 		is.Equal(send(t, server, http.MethodGet, "/x", nil, "").StatusCode, http.StatusOK)
 	}
 }
 
-// A safe call whose first attempt may have run stays unknown, whatever becomes of the
-// later ones. Found by the simulator (seed 31534, san-jose).
-func TestNotRunHoldsForAllAttempts(t *testing.T) {
+// Guards against reporting not-run after a first attempt that may have run.
+func TestNotRunIsReportedOnlyIfNoAttemptMayHaveRun(t *testing.T) {
 	is := is.New(t)
 	decline := func(conn net.Conn, _ *http.Request, _ int64) bool {
 		_, _ = io.WriteString(conn, "HTTP/1.1 503 Busy\r\nRequest-Outcome: not-run\r\nContent-Length: 0\r\n\r\n")
@@ -165,11 +163,11 @@
 	}
 	began := 0
 	for range 20 {
-		dying, ran := rawBackend(t, func(net.Conn, *http.Request, int64) bool { return false })
+		crashing, ran := rawBackend(t, func(net.Conn, *http.Request, int64) bool { return false })
 		first, _ := rawBackend(t, decline)
 		second, _ := rawBackend(t, decline)
 		third, _ := rawBackend(t, decline)
-		response := send(t, node(t, dying, first, second, third), http.MethodGet, "/x", nil, "")
+		response := send(t, startNode(t, crashing, first, second, third), http.MethodGet, "/x", nil, "")
 		if ran.Load() > 0 {
 			began++
 			is.Equal(outcome(response), string(Unknown))
@@ -188,44 +186,43 @@
 	}
 	first, _ := rawBackend(t, decline)
 	second, _ := rawBackend(t, decline)
-	server := node(t, first, second)
+	server := startNode(t, first, second)
 	response := send(t, server, http.MethodPost, "/once/x", nil, "body")
-	is.Equal(outcome(response), string(NotRun)) // declined everywhere: it has not run
+	is.Equal(outcome(response), string(NotRun)) // declined by both back ends
 	is.Equal(response.Header.Get("Retry-After"), "2")
 	is.Equal(<-marks, "")
-	is.Equal(<-marks, "1") // the second try says that it is one
+	is.Equal(<-marks, "1") // the second attempt is marked as a retry
 	response = send(t, server, http.MethodPost, "/x", http.Header{HeaderRetry: {"1"}}, "body")
 	is.Equal(outcome(response), string(NotRun))
-	is.Equal(response.Header.Get("Retry-After"), "7") // the back end's own wish is passed on
-	is.Equal(len(marks), 1)                           // a call that an earlier hop repeats is not repeated here
+	is.Equal(response.Header.Get("Retry-After"), "7") // the back end's own Retry-After is forwarded
+	is.Equal(len(marks), 1)                           // a call that an earlier hop retries is not retried here
 }
 
-func TestCutAnswerReachesTheCallerAsAnError(t *testing.T) {
-	for name, answer := range map[string]string{
+func TestTruncatedResponseIsAnErrorForTheCaller(t *testing.T) {
+	for name, partial := range map[string]string{
 		"with length": "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nonly a part",
 		"chunked":     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			address, _ := rawBackend(t, func(conn net.Conn, _ *http.Request, _ int64) bool {
-				_, _ = io.WriteString(conn, answer)
+				_, _ = io.WriteString(conn, partial)
 				return false
 			})
-			request, err := http.NewRequest(http.MethodGet, node(t, address).URL+"/x", nil)
+			request, err := http.NewRequest(http.MethodGet, startNode(t, address).URL+"/x", nil)
 			is.NoErr(err)
 			response, err := http.DefaultClient.Do(request)
 			if err == nil {
 				_, err = io.ReadAll(response.Body)
 				response.Body.Close()
 			}
-			is.True(err != nil) // never a clean end
+			is.True(err != nil) // never a complete response
 		})
 	}
 }
 
-// A call that its caller gave up on answers late; the next caller must get its own
-// answer.
-func TestLateAnswerNeverMeetsTheNextCall(t *testing.T) {
+// Guards against the late response of a canceled call reaching the next caller.
+func TestLateResponseIsNotReturnedToTheNextCall(t *testing.T) {
 	is := is.New(t)
 	address, _ := rawBackend(t, func(conn net.Conn, request *http.Request, _ int64) bool {
 		if request.URL.Path == "/slow" {
@@ -234,7 +231,7 @@
 		_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(request.URL.Path), request.URL.Path)
 		return true
 	})
-	server := node(t, address)
+	server := startNode(t, address)
 	for round := range 5 {
 		ctx, cancel := context.WithTimeout(context.Background(), 40*time.Millisecond)
 		request, err := http.NewRequestWithContext(ctx, http.MethodGet, server.URL+"/slow", nil)
@@ -249,7 +246,7 @@
 	}
 }
 
-func TestDeadlinesShrinkAndEnd(t *testing.T) {
+func TestDeadlineIsForwardedAndEnforced(t *testing.T) {
 	is := is.New(t)
 	timeouts := make(chan string, 1)
 	address, _ := rawBackend(t, func(conn net.Conn, request *http.Request, _ int64) bool {
@@ -257,7 +254,7 @@
 		time.Sleep(time.Second)
 		return false
 	})
-	server := node(t, address)
+	server := startNode(t, address)
 	started := time.Now()
 	response := send(t, server, http.MethodPost, "/x", http.Header{HeaderTimeout: {"80"}}, "x")
 	is.Equal(response.StatusCode, http.StatusGatewayTimeout)
@@ -271,13 +268,13 @@
 	is.Equal(outcome(response), string(NotRun)) // too late to begin
 }
 
-func TestRefusalsComeAtOnceAndSayWhen(t *testing.T) {
-	nobody, err := net.Listen("tcp", "127.0.0.1:0")
+func TestRejectionsAreImmediateWithRetryAfter(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
-	closed := nobody.Addr().String()
-	nobody.Close()
+	closed := listener.Addr().String()
+	listener.Close()
 	for name, server := range map[string]*httptest.Server{
-		"no back end": node(t), "connection refused": node(t, closed),
+		"no back end": startNode(t), "connection refused": startNode(t, closed),
 		"no configuration": httptest.NewServer(New(Config{Now: func() time.Duration { return 0 }, Retry: retry.DefaultConfig(), Declines: retry.DeclineConfig()})),
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -292,7 +289,7 @@
 	}
 }
 
-// awaitCalls waits until back ends have got so many calls together.
+// awaitCalls waits until the back ends together have received so many calls.
 func awaitCalls(t *testing.T, wanted int64, counts ...*atomic.Int64) {
 	t.Helper()
 	for range 500 {
@@ -305,25 +302,25 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatalf("back ends did not get %d calls", wanted)
+	t.Fatalf("back ends did not receive %d calls", wanted)
 }
 
-// A call that finds no free slot waits a little, once, and is then told at once.
-func TestSaturatedCallIsRefusedInTime(t *testing.T) {
+// A call that finds no free slot waits once for a short time and is then rejected.
+func TestCallIsRejectedAfterAShortWaitIfSaturated(t *testing.T) {
 	is := is.New(t)
-	held := make(chan struct{})
-	defer close(held)
+	release := make(chan struct{})
+	defer close(release)
 	var addresses []string
-	var atWork []*atomic.Int64
+	var inFlight []*atomic.Int64
 	for range 2 {
 		address, calls := rawBackend(t, func(net.Conn, *http.Request, int64) bool {
-			<-held
+			<-release
 			return false
 		})
 		addresses = append(addresses, address)
-		atWork = append(atWork, calls)
+		inFlight = append(inFlight, calls)
 	}
-	server := node(t, addresses...)
+	server := startNode(t, addresses...)
 	for range 2 * 64 { // the limit of a back end for which the bundle sets none
 		go func() {
 			response, err := http.Post(server.URL+"/once/x", "text/plain", strings.NewReader("x"))
@@ -332,12 +329,12 @@
 			}
 		}()
 	}
-	awaitCalls(t, 2*64, atWork...)
+	awaitCalls(t, 2*64, inFlight...)
 	started := time.Now()
 	response := send(t, server, http.MethodPost, "/once/x", nil, "body")
 	is.Equal(outcome(response), string(NotRun))
 	is.Equal(response.Header.Get("Retry-After"), "1")
-	is.True(time.Since(started) < 2*maxPatience)
+	is.True(time.Since(started) < 2*maxSlotWait)
 }
 
 func TestCallerHeadersAndCredential(t *testing.T) {
@@ -345,12 +342,12 @@
 	seen := make(chan http.Header, 1)
 	address, _ := rawBackend(t, func(conn net.Conn, request *http.Request, _ int64) bool {
 		seen <- request.Header
-		_, _ = io.WriteString(conn, okAnswer)
+		_, _ = io.WriteString(conn, okResponse)
 		return true
 	})
-	send(t, node(t, address), http.MethodGet, "/x", http.Header{"Connection": {"X-Hop"}, "X-Hop": {"1"}, "X-Kept": {"2"}, "Authorization": {"stolen"}}, "")
+	send(t, startNode(t, address), http.MethodGet, "/x", http.Header{"Connection": {"X-Hop"}, "X-Hop": {"1"}, "X-Kept": {"2"}, "Authorization": {"stolen"}}, "")
 	header := <-seen
-	is.Equal(header.Get("X-Hop"), "") // belongs to the caller's connection
+	is.Equal(header.Get("X-Hop"), "") // a hop-by-hop header
 	is.Equal(header.Get("X-Kept"), "2")
 	is.Equal(header.Get("Authorization"), "Bearer credential") // the bundle's, not the caller's
 }
@@ -372,7 +369,7 @@
 		situation := base
 		test.change(&situation)
 		if got := MayRetry(situation); got != test.want {
-			t.Errorf("%s: %t, expected %t", name, got, test.want)
+			t.Errorf("%s: MayRetry = %t, want %t", name, got, test.want)
 		}
 	}
 }
--- a/pkg/forward/headers.go
+++ b/pkg/forward/headers.go
@@ -9,7 +9,7 @@
 	"bramblelift/pkg/exchange"
 )
 
-// Headers of the system.
+// Header names of calls and responses.
 const (
 	HeaderOutcome  = exchange.HeaderOutcome
 	HeaderTimeout  = exchange.HeaderTimeout
@@ -18,30 +18,30 @@
 	HeaderDraining = exchange.HeaderDraining
 )
 
-// Outcome says whether a refused call ran.
+// Outcome states whether a rejected call ran.
 type Outcome = exchange.Outcome
 
-// Outcomes of refused calls.
+// Outcomes of rejected calls.
 const (
 	NotRun  = exchange.NotRun
 	Unknown = exchange.Unknown
 )
 
-// Refusal is the body of an answer that the node makes itself.
+// Refusal is the body of a response that the node generates itself.
 type Refusal struct {
 	Outcome Outcome `json:"outcome"`
-	// Step is where the call ended, Peer which back end was involved.
+	// Step is where the call failed, Peer the address of the back end or gate, if one was involved.
 	Step   string `json:"step"`
 	Peer   string `json:"peer,omitempty"`
 	Reason string `json:"reason"`
 	Status int    `json:"-"`
-	// RetryAfter is when to come back.
+	// RetryAfter is sent in the header of this name unless it is zero.
 	RetryAfter time.Duration `json:"-"`
-	// Fractions lets Retry-After have fractions of a second.
+	// Fractions allows fractions of a second in Retry-After.
 	Fractions bool `json:"-"`
 }
 
-// write sends the refusal.
+// write sends the refusal to the caller.
 func (r Refusal) write(w http.ResponseWriter) {
 	body, err := json.Marshal(r)
 	if err != nil {
@@ -60,8 +60,7 @@
 	_, _ = w.Write(append(body, '\n'))
 }
 
-// retryAfterText is in whole seconds, as HTTP has it, or with fractions where the refusal
-// is meant for callers that understand them.
+// retryAfterText returns whole seconds, as HTTP requires, or fractions for callers that parse them.
 func (r Refusal) retryAfterText() string {
 	if r.Fractions {
 		return strconv.FormatFloat(r.RetryAfter.Seconds(), 'f', 3, 64)
@@ -69,7 +68,7 @@
 	return strconv.Itoa(int((r.RetryAfter + time.Second - 1) / time.Second))
 }
 
-// isSafe reports whether a method may be repeated by definition (RFC 9110, 9.2.1).
+// isSafe reports whether a method is safe by definition (RFC 9110, section 9.2.1).
 func isSafe(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions:
--- a/pkg/forward/large_test.go
+++ b/pkg/forward/large_response_test.go
@@ -15,12 +15,12 @@
 	"github.com/matryer/is"
 )
 
-// Gates are told how long an answer is expected to be once the route's answers were large, and only then.
-func TestGatesAreToldOfLargeAnswers(t *testing.T) {
-	for size, told := range map[int]string{50_000: "50000", 1000: ""} {
+// Gates receive the expected response size only if the route's responses were large.
+func TestGatesReceiveTheExpectedSizeOfLargeResponses(t *testing.T) {
+	for size, wantHeader := range map[int]string{50_000: "50000", 1000: ""} {
 		is := is.New(t)
 		var expected atomic.Pointer[string]
-		gate, _ := standInGate(t, func(w http.ResponseWriter, r *http.Request) {
+		gate, _ := fakeGate(t, func(w http.ResponseWriter, r *http.Request) {
 			header := r.Header.Get(exchange.HeaderExpectedAnswer)
 			expected.Store(&header)
 			w.Header().Set(exchange.HeaderWork, "1000")
@@ -31,12 +31,12 @@
 		is.Equal(n.call(t, "GET", "/safe/x", "").StatusCode, http.StatusOK)
 		is.Equal(*expected.Load(), "") // nothing is known yet
 		is.Equal(n.call(t, "GET", "/safe/x", "", exchange.HeaderExpectedAnswer, "7").StatusCode, http.StatusOK)
-		is.Equal(*expected.Load(), told) // callers have no say in it
+		is.Equal(*expected.Load(), wantHeader) // the caller's header is dropped
 	}
 }
 
-// slowAnswer is a gate that sends an answer of so many bytes bit by bit, and tells when it was left.
-func slowAnswer(size int, left chan struct{}) http.HandlerFunc {
+// slowResponse is a gate that sends a response slowly and closes disconnected when its client leaves.
+func slowResponse(size int, disconnected chan struct{}) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Call-Id", r.Header.Get("Call-Id"))
 		w.Header().Set("Content-Length", strconv.Itoa(size))
@@ -48,25 +48,25 @@
 			_ = http.NewResponseController(w).Flush()
 			select {
 			case <-r.Context().Done():
-				close(left)
+				close(disconnected)
 				return
 			case <-time.After(10 * time.Millisecond):
 			}
 		}
 		if r.Context().Err() != nil {
-			close(left)
+			close(disconnected)
 		}
 	}
 }
 
-// A caller that leaves in the middle of a large answer ends its transfer between the nodes, whether the
-// node holds the answer whole or passes it on as it comes.
-func TestCallerThatLeavesEndsTheTransferFromTheGate(t *testing.T) {
+// Guards against a transfer between nodes that continues after the caller has disconnected, for both
+// buffered and streamed responses.
+func TestDisconnectedCallerStopsTheTransferFromTheGate(t *testing.T) {
 	for name, size := range map[string]int{"held": 500_000, "passed on": 4 << 20} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			left := make(chan struct{})
-			gate, _ := standInGate(t, slowAnswer(size, left))
+			disconnected := make(chan struct{})
+			gate, _ := fakeGate(t, slowResponse(size, disconnected))
 			n := newGatedNode(t, 0, gate)
 			r, err := http.NewRequest(http.MethodGet, n.URL+"/safe/x", nil)
 			is.NoErr(err)
@@ -75,24 +75,24 @@
 			client := &http.Client{Timeout: 100 * time.Millisecond}
 			if response, err := client.Do(r); err == nil {
 				_, err = io.Copy(io.Discard, response.Body)
-				is.True(err != nil) // what came is not whole
+				is.True(err != nil) // the response is incomplete
 				response.Body.Close()
 			}
 			select {
-			case <-left:
-			case <-time.After(200 * time.Millisecond): // well before the route's time is up
-				t.Fatal("the gate still sends")
+			case <-disconnected:
+			case <-time.After(200 * time.Millisecond): // well before the route's timeout
+				t.Fatal("the gate still sends after the caller disconnected")
 			}
 		})
 	}
 }
 
-// An answer that breaks off between the nodes never looks whole to the caller.
-func TestLargeAnswerThatBreaksOffNeverLooksWhole(t *testing.T) {
+// Guards against a truncated response that looks complete to the caller.
+func TestTruncatedLargeResponseNeverLooksComplete(t *testing.T) {
 	for name, size := range map[string]int{"held": 500_000, "passed on": 4 << 20} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			gate, _ := standInGate(t, func(w http.ResponseWriter, r *http.Request) {
+			gate, _ := fakeGate(t, func(w http.ResponseWriter, r *http.Request) {
 				w.Header().Set("Call-Id", r.Header.Get("Call-Id"))
 				w.Header().Set("Content-Length", strconv.Itoa(size))
 				_, _ = io.WriteString(w, strings.Repeat("x", size-1000))
@@ -112,9 +112,9 @@
 	}
 }
 
-// A large answer of the caller's own back end crosses the link once, that of another twice: a call whose
-// answer will be large may wait there for a slot before others are asked, any other may not.
-func TestLargeAnswersWaitAtTheOwnBackend(t *testing.T) {
+// A large response from the own back end crosses the link once, from another one twice. Only calls
+// that expect a large response wait at the own gate before others are attempted.
+func TestCallsWithLargeResponsesWaitAtTheOwnGate(t *testing.T) {
 	for size, waits := range map[int]bool{50_000: true, 100: false} {
 		is := is.New(t)
 		wait := time.Duration(-1)
--- a/pkg/forward/late_test.go
+++ b/pkg/forward/link_delay_test.go
@@ -15,7 +15,7 @@
 	"github.com/matryer/is"
 )
 
-// slowLink passes connections on to an address; all that goes there, also their end, is held back for a time.
+// slowLink forwards connections to an address and delays all data and closes in that direction.
 func slowLink(t *testing.T, address string, delay *atomic.Int64) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -36,14 +36,14 @@
 				_, _ = io.Copy(near, far)
 				near.Close()
 			}()
-			go passSlowly(far, near, delay)
+			go forwardSlowly(far, near, delay)
 		}
 	}()
 	return listener.Addr().String()
 }
 
-// passSlowly passes on what a connection brings, each piece as late as the delay is when it comes.
-func passSlowly(far, near net.Conn, delay *atomic.Int64) {
+// forwardSlowly copies data from near to far; each piece is late by the delay at its arrival.
+func forwardSlowly(far, near net.Conn, delay *atomic.Int64) {
 	type piece struct {
 		data []byte
 		due  time.Time
@@ -69,9 +69,9 @@
 	}
 }
 
-// A call that waits on a full link until its caller has left must not reach a back end: the end of its connection
-// waits behind it, so that the gate cannot know by that.
-func TestCallThatWaitsOnALinkDiesWithItsCaller(t *testing.T) {
+// Guards against running a call that was delayed on a link until its caller had disconnected. The gate
+// cannot see the disconnect, because it is delayed behind the call.
+func TestCallDelayedOnALinkIsDroppedAfterItsCallerLeft(t *testing.T) {
 	is := is.New(t)
 	var ran atomic.Int64
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/pkg/forward/quarantine.go
+++ b/pkg/forward/quarantine.go
@@ -11,46 +11,47 @@
 	"bramblelift/pkg/quarantine"
 )
 
-// endedLook bounds the look whether a back end without a gate still listens after an exchange broke:
-// some round trips between regions 35 ms apart. The call waits for it before it is repeated.
-const endedLook = 250 * time.Millisecond
+// crashProbeTimeout limits the check whether a back end without a gate still listens after a failed
+// exchange. It allows for several round trips between regions; a retry waits for the check.
+const crashProbeTimeout = 250 * time.Millisecond
 
-// quarantineRetry is when to come back with a request that is kept from back ends: a short time
-// beside the minutes that this lasts, and a long one for a caller who waits.
+// quarantineRetry is the Retry-After of quarantined requests: short compared to a quarantine, long
+// for a caller.
 const quarantineRetry = 30 * time.Second
 
-// look returns what is known of the call with what is held of its body.
-func (c *call) look(body []byte) quarantine.Match {
+// matchQuarantine looks the call up in the watchlist, with the buffered part of its body.
+func (c *call) matchQuarantine(body []byte) quarantine.Match {
 	return c.handler.config.Quarantine.Look(c.request, body, c.way())
 }
 
+// way returns the pair of caller and target service, the unit for which responses to a suspect are tracked.
 func (c *call) way() quarantine.Way {
-	return quarantine.Way{Caller: c.handler.config.Service, Service: c.target}
+	return quarantine.Way{Caller: c.handler.config.Service, Service: c.targetService}
 }
 
-// noteEnded tells of a back end without a gate if it ended while it had the call. One that starts
-// again under the same incarnation counts once.
-func (c *call) noteEnded(ctx context.Context, ticket *balancer.Ticket, cause error) {
-	if c.handler.config.OnEnded == nil || !exchange.BackendEnded(ctx, ticket.Address, cause, endedLook) {
+// reportCrash reports a crash of a back end without a gate during the call. Restarts within one
+// incarnation count once.
+func (c *call) reportCrash(ctx context.Context, ticket *balancer.Ticket, cause error) {
+	if c.handler.config.OnEnded == nil || !exchange.BackendEnded(ctx, ticket.Address, cause, crashProbeTimeout) {
 		return
 	}
 	c.handler.config.OnEnded(quarantine.End{
-		Request: quarantine.Of(c.request, c.body.buffered), Instance: fmt.Sprintf("%s/%d", ticket.ID, ticket.Incarnation), Way: c.way(),
+		Request: quarantine.Of(c.request, c.body.data), Instance: fmt.Sprintf("%s/%d", ticket.ID, ticket.Incarnation), Way: c.way(),
 		Watched: c.watched,
 	})
 }
 
-// noteAnswered tells that a back end without a gate answered, if the call is watched.
-func (c *call) noteAnswered(status int) {
+// reportSurvival reports that a back end without a gate responded to a suspect request.
+func (c *call) reportSurvival(status int) {
 	if c.handler.config.OnAnswered == nil || !exchange.Outlived(status) {
 		return
 	}
-	if match := c.look(c.body.buffered); match.Standing != quarantine.Unsuspected && !match.Answered {
+	if match := c.matchQuarantine(c.body.data); match.Standing != quarantine.Unsuspected && !match.Answered {
 		c.handler.config.OnAnswered(quarantine.Answer{Request: match.Request, Way: c.way()})
 	}
 }
 
-// quarantineRefusal refuses a request that no back end is to get.
+// quarantineRefusal rejects a quarantined request.
 func quarantineRefusal(match quarantine.Match) *Refusal {
 	return &Refusal{
 		Outcome: NotRun, Step: "quarantine", Reason: fmt.Sprintf("back ends ended while they had this request (fingerprint %s)", match.Request.Short()),
--- a/pkg/forward/quarantine_test.go
+++ b/pkg/forward/quarantine_test.go
@@ -17,8 +17,8 @@
 	"github.com/matryer/is"
 )
 
-// suspect is a filter that knows one request: a POST of "fatal" to a path.
-func suspect(path string, quarantined bool, answered ...quarantine.Way) *quarantine.Filter {
+// suspectFilter returns a filter that matches one request: a POST of "fatal" to a path.
+func suspectFilter(path string, quarantined bool, answered ...quarantine.Way) *quarantine.Filter {
 	request := httptest.NewRequest(http.MethodPost, "http://shop.example:80"+path, nil)
 	filter := &quarantine.Filter{}
 	filter.Set(&quarantine.Watchlist{Entries: []quarantine.Entry{
@@ -27,8 +27,8 @@
 	return filter
 }
 
-// A request that is kept from back ends is refused at once, and truly: no gate is asked. One that
-// differs in its body only is served, and so is a way on which the request was answered.
+// A quarantined request is rejected as not run and reaches no gate. The same request with another body
+// is served, and so is a caller and service pair that got a response to it.
 func TestQuarantinedRequestReachesNoGate(t *testing.T) {
 	for name, c := range map[string]struct {
 		answered []quarantine.Way
@@ -42,51 +42,50 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			gate, asked := standInGate(t, serving)
-			n := newGatedNodeWith(t, func(cfg *Config) { cfg.Quarantine = suspect("/safe/x", true, c.answered...) }, []string{"z"}, gate)
+			gate, received := fakeGate(t, respondOK)
+			n := newGatedNodeWith(t, func(cfg *Config) { cfg.Quarantine = suspectFilter("/safe/x", true, c.answered...) }, []string{"z"}, gate)
 			response := n.call(t, http.MethodPost, "/safe/x", c.body)
 			is.Equal(response.StatusCode, c.status)
 			if c.status == http.StatusOK {
 				return
 			}
-			is.Equal(asked.Load(), int64(0))
+			is.Equal(received.Load(), int64(0))
 			is.Equal(response.Header.Get(HeaderOutcome), string(NotRun))
 			is.True(response.Header.Get("Retry-After") != "")
 		})
 	}
 }
 
-// While it is open whether a request ends back ends, it gets one at a time: a repeat might end the
-// next one.
-func TestWatchedRequestIsNotRepeated(t *testing.T) {
+// Guards against retrying a suspect request, which might crash another back end.
+func TestSuspectRequestIsNotRetried(t *testing.T) {
 	is := is.New(t)
-	ending := refusing(exchange.ReasonEnded, Unknown)
-	first, firstAsked := standInGate(t, ending)
-	second, secondAsked := standInGate(t, ending)
+	crashing := rejectWith(exchange.ReasonEnded, Unknown)
+	first, firstCalls := fakeGate(t, crashing)
+	second, secondCalls := fakeGate(t, crashing)
 	n := newGatedNodeWith(t, func(cfg *Config) {
 		cfg.Retry = retry.Config{Max: 10}
-		cfg.Quarantine = suspect("/safe/x", false)
+		cfg.Quarantine = suspectFilter("/safe/x", false)
 	}, []string{"z", "z"}, first, second)
 	is.Equal(n.call(t, http.MethodPost, "/safe/x", "fatal").StatusCode, http.StatusBadGateway)
-	is.Equal(firstAsked.Load()+secondAsked.Load(), int64(1))
+	is.Equal(firstCalls.Load()+secondCalls.Load(), int64(1))
 	is.Equal(n.call(t, http.MethodPost, "/safe/x", "harmless").StatusCode, http.StatusBadGateway)
-	is.Equal(firstAsked.Load()+secondAsked.Load(), int64(3)) // any other call is
+	is.Equal(firstCalls.Load()+secondCalls.Load(), int64(3)) // other calls are retried
 }
 
-// A gate that knows more than the node ends the search: all other gates will know it, too.
-func TestQuarantineOfAGateIsFinal(t *testing.T) {
+// A gate's quarantine rejection is final, since all other gates will reject the request as well.
+func TestQuarantineRejectionIsNotRetried(t *testing.T) {
 	is := is.New(t)
-	first, firstAsked := standInGate(t, refusing(exchange.ReasonQuarantined, NotRun))
-	second, secondAsked := standInGate(t, refusing(exchange.ReasonQuarantined, NotRun))
+	first, firstCalls := fakeGate(t, rejectWith(exchange.ReasonQuarantined, NotRun))
+	second, secondCalls := fakeGate(t, rejectWith(exchange.ReasonQuarantined, NotRun))
 	n := newGatedNode(t, 1, first, second)
 	response := n.call(t, http.MethodPost, "/safe/x", "fatal")
 	is.Equal(response.StatusCode, http.StatusServiceUnavailable)
 	is.Equal(response.Header.Get(HeaderOutcome), string(NotRun))
-	is.Equal(firstAsked.Load()+secondAsked.Load(), int64(1))
+	is.Equal(firstCalls.Load()+secondCalls.Load(), int64(1))
 }
 
-// endingBackend ends with the first call that it gets.
-func endingBackend(t *testing.T) string {
+// crashingBackend stops listening and disconnects on its first call.
+func crashingBackend(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
@@ -104,11 +103,11 @@
 	return listener.Addr().String()
 }
 
-// Back ends without gates: the callers' nodes see them end, and keep requests from them.
-func TestNodeWithoutGatesGivesEvidenceAndKeepsToIt(t *testing.T) {
+// Nodes report crashes of back ends without gates, and reject quarantined requests for them.
+func TestNodeReportsCrashesAndAppliesQuarantineWithoutGates(t *testing.T) {
 	is := is.New(t)
 	var mu sync.Mutex
-	var ends []quarantine.End
+	var crashes []quarantine.End
 	var answers []quarantine.Answer
 	filter := &quarantine.Filter{}
 	serve := func(addresses ...string) *httptest.Server {
@@ -116,50 +115,50 @@
 		handler := New(Config{
 			Node: "n", Service: "shop", Now: func() time.Duration { return time.Since(started) }, Quarantine: filter,
 			Retry: retry.Config{Max: 10}, Declines: retry.Config{Max: 10},
-			OnEnded: func(end quarantine.End) {
+			OnEnded: func(crash quarantine.End) {
 				mu.Lock()
 				defer mu.Unlock()
-				ends = append(ends, end)
+				crashes = append(crashes, crash)
 			},
 			OnAnswered: func(answer quarantine.Answer) { answers = append(answers, answer) },
 		})
-		handler.SetTable(table(addresses...))
+		handler.SetTable(newTable(addresses...))
 		server := httptest.NewServer(handler)
 		t.Cleanup(server.Close)
 		return server
 	}
-	ask := func(server *httptest.Server) *http.Response {
+	sendCall := func(server *httptest.Server) *http.Response {
 		return send(t, server, http.MethodGet, "/x", http.Header{}, "")
 	}
-	server := serve(endingBackend(t), endingBackend(t))
-	is.Equal(outcome(ask(server)), string(Unknown))
-	is.Equal(len(ends), 2) // it was repeated once
-	is.Equal(ends[0].Way, quarantine.Way{Caller: "shop", Service: "s"})
-	is.True(ends[0].Instance != ends[1].Instance)
-	is.Equal(ends[0].Request, ends[1].Request)
-	is.True(!ends[0].Watched)
+	server := serve(crashingBackend(t), crashingBackend(t))
+	is.Equal(outcome(sendCall(server)), string(Unknown))
+	is.Equal(len(crashes), 2) // the call was retried once
+	is.Equal(crashes[0].Way, quarantine.Way{Caller: "shop", Service: "s"})
+	is.True(crashes[0].Instance != crashes[1].Instance)
+	is.Equal(crashes[0].Request, crashes[1].Request)
+	is.True(!crashes[0].Watched)
 
-	watching := func(server *httptest.Server, quarantined bool) *quarantine.Watchlist {
+	watchlist := func(server *httptest.Server, quarantined bool) *quarantine.Watchlist {
 		call := httptest.NewRequest(http.MethodGet, server.URL+"/x", nil)
 		return &quarantine.Watchlist{Entries: []quarantine.Entry{{Request: quarantine.Of(call, nil), Quarantined: quarantined}}}
 	}
-	server = serve(endingBackend(t), endingBackend(t))
-	filter.Set(watching(server, false))
-	is.Equal(outcome(ask(server)), string(Unknown))
-	is.Equal(len(ends), 3) // what is watched is not repeated
-	is.True(ends[2].Watched)
+	server = serve(crashingBackend(t), crashingBackend(t))
+	filter.Set(watchlist(server, false))
+	is.Equal(outcome(sendCall(server)), string(Unknown))
+	is.Equal(len(crashes), 3) // a suspect request is not retried
+	is.True(crashes[2].Watched)
 
 	address, requests := rawBackend(t, func(conn net.Conn, _ *http.Request, _ int64) bool {
-		_, _ = io.WriteString(conn, okAnswer)
+		_, _ = io.WriteString(conn, okResponse)
 		return true
 	})
 	server = serve(address)
-	filter.Set(watching(server, false))
-	is.Equal(ask(server).StatusCode, http.StatusOK)
+	filter.Set(watchlist(server, false))
+	is.Equal(sendCall(server).StatusCode, http.StatusOK)
 	is.Equal(len(answers), 1)
-	filter.Set(watching(server, true))
-	refused := ask(server)
-	is.Equal(refused.StatusCode, http.StatusServiceUnavailable)
-	is.Equal(outcome(refused), string(NotRun))
+	filter.Set(watchlist(server, true))
+	rejected := sendCall(server)
+	is.Equal(rejected.StatusCode, http.StatusServiceUnavailable)
+	is.Equal(outcome(rejected), string(NotRun))
 	is.Equal(requests.Load(), int64(1))
 }
--- a/pkg/forward/regions_test.go
+++ b/pkg/forward/region_delays_test.go
@@ -17,8 +17,7 @@
 	"github.com/matryer/is"
 )
 
-// regionTable is a table with one route, which only some regions may serve, and a back end in each of
-// east and west.
+// regionTable is a table with one route that only some regions may serve, and back ends in east and west.
 func regionTable(version uint64, east, west string, regions ...string) *routing.Table {
 	endpoint := func(id, gate, zone string) distribution.Endpoint {
 		return distribution.Endpoint{Service: "s", ID: id, Incarnation: 1, Address: "10.0.0.1:1", Gate: gate, Zone: zone, Capacity: 4}
@@ -45,16 +44,16 @@
 	return n, handler
 }
 
-// Only the regions that the route names get its calls, bodies and repeats included; without any of their
-// back ends the caller is told at once, and truly, that the call has not run, and when to come back.
-func TestCallsStayInTheRegionsThatMayServeThem(t *testing.T) {
+// Guards against calls that leave the regions of their route. Without a back end there they are
+// rejected at once with Retry-After.
+func TestCallsStayInAllowedRegions(t *testing.T) {
 	is := is.New(t)
-	east, eastCalls := standInGate(t, serving)
-	west, westCalls := standInGate(t, refusing(exchange.ReasonFull, NotRun))
+	east, eastCalls := fakeGate(t, respondOK)
+	west, westCalls := fakeGate(t, rejectWith(exchange.ReasonFull, NotRun))
 	n, handler := regionNode(t, regionTable(1, east, west, "west"), func(*Config) {})
 	response := n.call(t, http.MethodPost, "/r/1", strings.Repeat("x", 20_000))
 	is.Equal(response.StatusCode, http.StatusServiceUnavailable)
-	is.Equal(eastCalls.Load(), int64(0)) // full is no reason to leave
+	is.Equal(eastCalls.Load(), int64(0)) // not attempted though west is full
 	is.True(westCalls.Load() > 0)
 	handler.SetTable(regionTable(2, east, west, "east"))
 	is.Equal(n.call(t, http.MethodGet, "/r/1", "").StatusCode, http.StatusOK)
@@ -69,54 +68,52 @@
 	is.Equal(eastCalls.Load(), int64(1))
 }
 
-// Homes change while a call waits: the gate that let it wait turns it away, and the node, which knows the new
-// configuration by then, or not, does not run it in the old region.
-func TestRegionsChangeWhileACallWaits(t *testing.T) {
+// Guards against running a waiting call in a region that a new configuration excludes.
+func TestRegionChangeAppliesToAWaitingCall(t *testing.T) {
 	is := is.New(t)
-	asked := make(chan struct{})
+	attempted := make(chan struct{})
 	changed := make(chan struct{})
-	west, _ := standInGate(t, func(w http.ResponseWriter, r *http.Request) {
-		close(asked)
+	west, _ := fakeGate(t, func(w http.ResponseWriter, r *http.Request) {
+		close(attempted)
 		<-changed
-		refusing(exchange.ReasonRegion, NotRun)(w, r)
+		rejectWith(exchange.ReasonRegion, NotRun)(w, r)
 	})
-	east, eastCalls := standInGate(t, serving)
+	east, eastCalls := fakeGate(t, respondOK)
 	n, handler := regionNode(t, regionTable(1, east, west, "west"), func(*Config) {})
 	go func() {
-		<-asked
+		<-attempted
 		handler.SetTable(regionTable(2, east, west, "east"))
 		close(changed)
 	}()
 	response := n.call(t, http.MethodGet, "/r/1", "")
-	is.Equal(response.StatusCode, http.StatusServiceUnavailable) // it began under the old one: not run, come back
+	is.Equal(response.StatusCode, http.StatusServiceUnavailable) // the call began with the old regions
 	is.Equal(n.call(t, http.MethodGet, "/r/1", "").StatusCode, http.StatusOK)
 	is.Equal(eastCalls.Load(), int64(1))
 }
 
-// A link between two regions that is full shows in the delay: what the own region may serve stays there, and
-// the caller of what it has no room for is told at once instead of joining the queue.
-func TestFullLinkToAnotherRegionIsSpared(t *testing.T) {
+// A call avoids a region whose link is congested, and is rejected at once if its own region is full.
+func TestFullLinkToAnotherRegionIsAvoided(t *testing.T) {
 	is := is.New(t)
 	var mu sync.Mutex
-	onTheWay := time.Millisecond
-	west, westCalls := standInGate(t, func(w http.ResponseWriter, r *http.Request) {
+	delay := time.Millisecond
+	west, westCalls := fakeGate(t, func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
-		wait := onTheWay
+		wait := delay
 		mu.Unlock()
 		time.Sleep(wait)
 		if r.Header.Get(exchange.HeaderTellHeld) != "" {
 			w.Header().Set(exchange.HeaderHeld, "0")
 		}
-		serving(w, r)
+		respondOK(w, r)
 	})
-	east, _ := standInGate(t, refusing(exchange.ReasonFull, NotRun))
-	var told []link.Crowding
+	east, _ := fakeGate(t, rejectWith(exchange.ReasonFull, NotRun))
+	var reported []link.Crowding
 	n, _ := regionNode(t, regionTable(1, east, west), func(cfg *Config) {
-		cfg.OnCrowding = func(_ string, crowding link.Crowding, _ time.Duration) { told = append(told, crowding) }
+		cfg.OnCrowding = func(_ string, crowding link.Crowding, _ time.Duration) { reported = append(reported, crowding) }
 	})
 	is.Equal(n.call(t, http.MethodGet, "/r/1", "").StatusCode, http.StatusOK)
 	mu.Lock()
-	onTheWay = 500 * time.Millisecond
+	delay = 500 * time.Millisecond
 	mu.Unlock()
 	for range 4 {
 		n.call(t, http.MethodGet, "/r/1", "")
@@ -125,28 +122,28 @@
 	response := n.call(t, http.MethodGet, "/r/1", "")
 	is.Equal(response.StatusCode, http.StatusServiceUnavailable)
 	is.Equal(westCalls.Load(), before)
-	is.Equal(told[len(told)-1], link.Full)
-	time.Sleep(2100 * time.Millisecond) // tried again once nothing is known
+	is.Equal(reported[len(reported)-1], link.Full)
+	time.Sleep(2100 * time.Millisecond) // the measured delay expires
 	mu.Lock()
-	onTheWay = time.Millisecond
+	delay = time.Millisecond
 	mu.Unlock()
 	is.Equal(n.call(t, http.MethodGet, "/r/1", "").StatusCode, http.StatusOK)
 }
 
-// A node with an older configuration is told by the gates that their region may not serve the call: it
-// goes on to one that may, be it unsafe and the budget empty, however many refuse it first.
-func TestLateNodeIsSentOnByGatesOfOtherRegions(t *testing.T) {
+// A node with an outdated table moves on from gates whose region may not serve the call, without using
+// attempts or the retry budget.
+func TestStaleNodeMovesOnFromGatesOfExcludedRegions(t *testing.T) {
 	is := is.New(t)
-	const refusals = maxGateTries + 4
+	const rejections = maxGateAttempts + 4
 	var gates, zones []string
-	for range refusals {
-		gate, _ := standInGate(t, refusing(exchange.ReasonRegion, NotRun))
+	for range rejections {
+		gate, _ := fakeGate(t, rejectWith(exchange.ReasonRegion, NotRun))
 		gates, zones = append(gates, gate), append(zones, "z")
 	}
-	open, served := standInGate(t, serving)
+	open, served := fakeGate(t, respondOK)
 	gates, zones = append(gates, open), append(zones, "y")
 	n := newGatedNodeWith(t, func(cfg *Config) { cfg.Retry = retry.Config{} }, zones, gates...)
 	is.Equal(n.call(t, "POST", "/unsafe/x", "body").StatusCode, http.StatusOK)
 	is.Equal(served.Load(), int64(1))
-	is.True(len(n.attempts) <= refusals+1) // none was asked twice
+	is.True(len(n.attempts) <= rejections+1) // no gate was attempted twice
 }
--- a/pkg/forward/retry_after.go
+++ b/pkg/forward/retry_after.go
@@ -6,31 +6,30 @@
 	"bramblelift/pkg/exchange"
 )
 
-// When a caller whose call has not run is told to try again (Retry-After).
+// Parameters of Retry-After for calls that have not run.
 const (
-	// gateRetryDivisor divides the time left: after that part of it a refused call should be tried again.
+	// gateRetryDivisor divides the time left to give Retry-After.
 	gateRetryDivisor = 3
 	minGateRetry     = 20 * time.Millisecond
 	maxGateRetry     = 2 * time.Second
-	// maxChanceFailing is up to which share of calls that back ends fail a decline is taken for
-	// chance: another try will likely do.
-	maxChanceFailing = 0.75
+	// maxRandomFailing is the ratio of failed calls up to which a decline counts as random, so that a
+	// retry will probably succeed.
+	maxRandomFailing = 0.75
 )
 
-// retryAfter is in how long the caller should try again. A back end that had a free slot and declined all the
-// same does so with some calls and not with others: the next try is as good now as later, and later
-// is late. Where there is no room, it takes a while until there is; gates tell for how long their links
-// are taken.
+// retryAfter returns when the caller should retry. After a random decline by a back end with a free
+// slot that is at once. Otherwise it is a fraction of the time left, or the link wait that a gate
+// reported.
 func (g *gatedCall) retryAfter(now time.Duration) time.Duration {
-	if g.last == exchange.ReasonDeclined && g.service.pool.MeanFailing(now) <= maxChanceFailing {
+	if g.lastReason == exchange.ReasonDeclined && g.service.pool.MeanFailing(now) <= maxRandomFailing {
 		return minGateRetry
 	}
 	left := g.deadline - now
 	allowed := left / gateRetryDivisor
 	switch {
-	case g.last == exchange.ReasonCold:
+	case g.lastReason == exchange.ReasonCold:
 		allowed = g.retryAfterCold(left)
-	case g.last == exchange.ReasonLink && g.largeAnswer() && g.linkWait > 0:
+	case g.lastReason == exchange.ReasonLink && g.largeResponse() && g.linkWait > 0:
 		allowed = min(allowed, g.linkWait)
 	}
 	return max(minGateRetry, min(maxGateRetry, allowed))
--- a/pkg/forward/retries_test.go
+++ b/pkg/forward/retry_share_test.go
@@ -11,10 +11,9 @@
 	"github.com/matryer/is"
 )
 
-// Calls of a back end that is at work on repeats are repeats of the service that they go to. They are counted
-// against its budget, so that along a chain of services the repeats of one do not add to those of the next. The
-// gate is told which calls are repeats.
-func TestCallsOfRepeatsAreCharged(t *testing.T) {
+// Guards against retries that multiply along a chain of services: calls that a back end makes for
+// retries are charged to the budget. Gates receive a mark on retries.
+func TestCallsMadeForRetriesAreCharged(t *testing.T) {
 	is := is.New(t)
 	for _, test := range []struct {
 		host  string
@@ -27,10 +26,10 @@
 			if r.Header.Get(exchange.HeaderRetry) != "" {
 				marked++
 			}
-			refusing(exchange.ReasonDeclined, NotRun)(w, r)
+			rejectWith(exchange.ReasonDeclined, NotRun)(w, r)
 		}
-		gate, calls := standInGate(t, declining)
-		other, otherCalls := standInGate(t, declining)
+		gate, calls := fakeGate(t, declining)
+		other, otherCalls := fakeGate(t, declining)
 		n := newGatedNodeWith(t, func(cfg *Config) {
 			cfg.Retry = retry.Config{Ratio: 0.2, Max: 6}
 			cfg.BackendHost, cfg.RetryShare = netip.MustParseAddr(test.host), func() float64 { return test.share }
@@ -38,8 +37,8 @@
 		for range 100 {
 			n.call(t, http.MethodGet, "/safe/1", "")
 		}
-		repeats := calls.Load() + otherCalls.Load() - 100
-		is.True(repeats >= test.least && repeats <= test.most)
-		is.Equal(marked, repeats)
+		retries := calls.Load() + otherCalls.Load() - 100
+		is.True(retries >= test.least && retries <= test.most)
+		is.Equal(marked, retries)
 	}
 }
--- a/pkg/forward/version_test.go
+++ b/pkg/forward/rollout_test.go
@@ -19,12 +19,12 @@
 	"github.com/matryer/is"
 )
 
-// versionGate is a gate of a back end of a version.
+// versionGate is a gate whose back end runs one version.
 type versionGate struct {
 	*httptest.Server
-	got, repeats atomic.Int64
-	// refuses is the reason of its refusals, status what its back end answers with otherwise.
-	refuses exchange.Reason
+	received, retries atomic.Int64
+	// rejects is the reason of rejections, empty for none; status is the back end's response.
+	rejects exchange.Reason
 	status  int
 	header  http.Header
 }
@@ -33,16 +33,16 @@
 	t.Helper()
 	g := &versionGate{status: http.StatusOK}
 	g.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		g.got.Add(1)
+		g.received.Add(1)
 		if r.Header.Get(exchange.HeaderRetry) != "" {
-			g.repeats.Add(1)
+			g.retries.Add(1)
 		}
 		g.header = r.Header.Clone()
 		w.Header().Set("Call-Id", r.Header.Get("Call-Id"))
 		w.Header().Set("Content-Length", "0")
-		if g.refuses != "" {
+		if g.rejects != "" {
 			w.Header().Set(exchange.HeaderOutcome, string(exchange.NotRun))
-			w.Header().Set(exchange.HeaderReason, string(g.refuses))
+			w.Header().Set(exchange.HeaderReason, string(g.rejects))
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
@@ -80,8 +80,8 @@
 	return n
 }
 
-// hold puts a rollout in force, nil for none.
-func (n *versionNode) hold(r *rollout.Rollout) {
+// setRollout gives the node a rollout, nil for none.
+func (n *versionNode) setRollout(r *rollout.Rollout) {
 	state := &distribution.State{
 		Active: &bundle.Signed{Manifest: bundle.Manifest{Version: 4}, Content: bundle.Content{
 			Services: []bundle.Service{{Name: "s"}},
@@ -95,10 +95,10 @@
 	n.handler.SetTable(routing.New(state))
 }
 
-// ask sends calls and returns how many each gate got, and how many were answered.
-func (n *versionNode) ask(t *testing.T, calls int) (old, new int64, answered int) {
+// callGates sends calls and returns how many each gate received and how many succeeded.
+func (n *versionNode) callGates(t *testing.T, calls int) (old, new int64, succeeded int) {
 	t.Helper()
-	oldBefore, newBefore := n.old.got.Load(), n.new.got.Load()
+	oldBefore, newBefore := n.old.received.Load(), n.new.received.Load()
 	for range calls {
 		n.calls++
 		request, err := http.NewRequest(http.MethodGet, n.URL+"/x", nil)
@@ -109,98 +109,98 @@
 		is.New(t).NoErr(err)
 		response.Body.Close()
 		if response.StatusCode == http.StatusOK {
-			answered++
+			succeeded++
 		}
 	}
-	return n.old.got.Load() - oldBefore, n.new.got.Load() - newBefore, answered
+	return n.old.received.Load() - oldBefore, n.new.received.Load() - newBefore, succeeded
 }
 
-func at(phase rollout.Phase, share int) *rollout.Rollout {
+func rolloutAt(phase rollout.Phase, share int) *rollout.Rollout {
 	return &rollout.Rollout{Service: "s", Version: "v2", Number: 1, Phase: phase, Share: share}
 }
 
-func TestNodesGiveTheNewVersionItsShare(t *testing.T) {
+func TestNewVersionReceivesItsShare(t *testing.T) {
 	is := is.New(t)
 	n := newVersionNode(t)
-	n.hold(nil)
-	_, _, answered := n.ask(t, 20)
-	is.Equal(answered, 20)
-	is.Equal(n.old.header.Get(exchange.HeaderRoute)+n.new.header.Get(exchange.HeaderRoute), "") // no bytes without a rollout
-	n.hold(at(rollout.Running, 300))
-	old, new, answered := n.ask(t, 200)
-	is.Equal(answered, 200)
+	n.setRollout(nil)
+	_, _, succeeded := n.callGates(t, 20)
+	is.Equal(succeeded, 20)
+	is.Equal(n.old.header.Get(exchange.HeaderRoute)+n.new.header.Get(exchange.HeaderRoute), "") // no headers without a rollout
+	n.setRollout(rolloutAt(rollout.Running, 300))
+	old, new, succeeded := n.callGates(t, 200)
+	is.Equal(succeeded, 200)
 	is.True(new > 20 && new < 110)
 	is.Equal(old+new, int64(200))
 	is.Equal(n.new.header.Get(exchange.HeaderRollout), "v2")
 	is.Equal(n.old.header.Get(exchange.HeaderRollout), "")
 	is.Equal(n.old.header.Get(exchange.HeaderRoute), "safe")
-	n.hold(at(rollout.Closing, rollout.Thousandths))
-	old, _, _ = n.ask(t, 20)
+	n.setRollout(rolloutAt(rollout.Closing, rollout.Thousandths))
+	old, _, _ = n.callGates(t, 20)
 	is.Equal(old, int64(0))
-	n.hold(at(rollout.Completed, rollout.Thousandths)) // the old back ends are still listed
-	old, _, _ = n.ask(t, 20)
+	n.setRollout(rolloutAt(rollout.Completed, rollout.Thousandths)) // the old back ends are still listed
+	old, _, _ = n.callGates(t, 20)
 	is.Equal(old, int64(0))
 	for _, phase := range []rollout.Phase{rollout.Reverting, rollout.RolledBack} {
-		n.hold(at(phase, 0))
-		_, new, answered = n.ask(t, 20)
+		n.setRollout(rolloutAt(phase, 0))
+		_, new, succeeded = n.callGates(t, 20)
 		is.Equal(new, int64(0))
-		is.Equal(answered, 20)
+		is.Equal(succeeded, 20)
 	}
 }
 
-// What the new version's gates do not let in goes to the old one, and the other way round.
-func TestRefusedCallsGoToTheOtherSide(t *testing.T) {
+// A call that the gates of one version reject goes to the other version.
+func TestRejectedCallsGoToTheOtherVersion(t *testing.T) {
 	is := is.New(t)
 	n := newVersionNode(t)
-	n.hold(at(rollout.Running, rollout.Thousandths))
-	n.new.refuses = exchange.ReasonVersion
-	_, _, answered := n.ask(t, 20)
-	is.Equal(answered, 20)
-	n.new.refuses, n.old.refuses = "", exchange.ReasonVersion
-	n.hold(at(rollout.Running, 0))
-	_, _, answered = n.ask(t, 20)
-	is.Equal(answered, 20)
+	n.setRollout(rolloutAt(rollout.Running, rollout.Thousandths))
+	n.new.rejects = exchange.ReasonVersion
+	_, _, succeeded := n.callGates(t, 20)
+	is.Equal(succeeded, 20)
+	n.new.rejects, n.old.rejects = "", exchange.ReasonVersion
+	n.setRollout(rolloutAt(rollout.Running, 0))
+	_, _, succeeded = n.callGates(t, 20)
+	is.Equal(succeeded, 20)
 }
 
-// A node that does not hear from control gives the new version nothing.
-func TestNodeWithoutControlSparesTheNewVersion(t *testing.T) {
+// A node without recent confirmation from control sends no calls to the new version.
+func TestStaleNodeAvoidsTheNewVersion(t *testing.T) {
 	is := is.New(t)
 	n := newVersionNode(t)
-	n.hold(at(rollout.Running, 500))
+	n.setRollout(rolloutAt(rollout.Running, 500))
 	n.stale.Store(int64(2 * time.Second))
-	_, new, answered := n.ask(t, 40)
+	_, new, succeeded := n.callGates(t, 40)
 	is.Equal(new, int64(0))
-	is.Equal(answered, 40)
+	is.Equal(succeeded, 40)
 }
 
-// A node acts on first signs, before control does, and a repeat does not go to the new version again.
-func TestNodeSparesAVersionThatFails(t *testing.T) {
+// A node avoids a failing version before control reverts it, and retries elsewhere.
+func TestNodeAvoidsAFailingVersion(t *testing.T) {
 	is := is.New(t)
 	n := newVersionNode(t)
 	n.new.status = http.StatusInternalServerError
-	n.hold(at(rollout.Running, 500))
-	n.ask(t, 60)
-	before := n.new.got.Load()
+	n.setRollout(rolloutAt(rollout.Running, 500))
+	n.callGates(t, 60)
+	before := n.new.received.Load()
 	is.True(before > 0 && before < 10)
-	is.True(n.old.repeats.Load() > 0)
-	is.Equal(n.new.repeats.Load(), int64(0))
-	_, new, _ := n.ask(t, 40)
+	is.True(n.old.retries.Load() > 0)
+	is.Equal(n.new.retries.Load(), int64(0))
+	_, new, _ := n.callGates(t, 40)
 	is.Equal(new, int64(0))
 	n.new.status = http.StatusOK
-	n.hold(at(rollout.Running, 501)) // control has seen more
-	_, new, _ = n.ask(t, 40)
+	n.setRollout(rolloutAt(rollout.Running, 501)) // control has reported progress
+	_, new, _ = n.callGates(t, 40)
 	is.True(new > 0)
 }
 
-// After some time the rollout that has completed is no matter of calls: a later release is ordinary.
-func TestCompletedRolloutsAreForgotten(t *testing.T) {
+// A completed rollout stops applying to calls after completedRetention.
+func TestCompletedRolloutsExpire(t *testing.T) {
 	is := is.New(t)
-	var v versions
-	v.set(0, at(rollout.Completed, rollout.Thousandths))
-	is.Equal(v.inForce(0), nil) // it was over before the node heard of it
-	v.set(0, at(rollout.Closing, rollout.Thousandths))
-	v.set(time.Second, at(rollout.Completed, rollout.Thousandths))
-	is.True(v.inForce(time.Second) != nil)
-	v.set(time.Second+completedMemory, at(rollout.Completed, rollout.Thousandths))
-	is.Equal(v.inForce(2*time.Second+completedMemory), nil)
+	var tracker rolloutTracker
+	tracker.update(0, rolloutAt(rollout.Completed, rollout.Thousandths))
+	is.Equal(tracker.active(0), nil) // it was completed before the node received it
+	tracker.update(0, rolloutAt(rollout.Closing, rollout.Thousandths))
+	tracker.update(time.Second, rolloutAt(rollout.Completed, rollout.Thousandths))
+	is.True(tracker.active(time.Second) != nil)
+	tracker.update(time.Second+completedRetention, rolloutAt(rollout.Completed, rollout.Thousandths))
+	is.Equal(tracker.active(2*time.Second+completedRetention), nil)
 }
--- a/pkg/forward/tenants.go
+++ b/pkg/forward/tenants.go
@@ -10,27 +10,27 @@
 	"bramblelift/pkg/routing"
 )
 
-// ranksPerTenant is how many priorities of routes lie between two priorities of tenants: a tenant's own goes
-// before the route's. Routes with higher ones share the last rank.
+// ranksPerTenant is the number of route priorities within one tenant priority: the tenant's takes
+// precedence. Higher route priorities share the last rank.
 const ranksPerTenant = 64
 
-// Quotas hold the tenants' limits over all nodes together.
+// Quotas enforces the tenants' limits over all nodes together.
 type Quotas interface {
-	// Admit takes one call of a tenant in, or says after how long it should come again. A late one can no longer
-	// be answered within its target latency.
+	// Admit admits one call of a tenant, or returns when to retry. late is set if the call can no longer
+	// meet its target latency.
 	Admit(now time.Duration, tenant string, late bool) (admitted bool, retryAfter time.Duration)
-	// Return takes back that a call was let in, which no back end has had.
+	// Return refunds an admitted call that reached no back end.
 	Return(now time.Duration, tenant string)
 }
 
-// credential is what a call shows of whom it belongs to.
+// credential is the digest of a call's key, or the reason why there is none.
 type credential struct {
 	digest bundle.Digest
-	// fault says why no digest is known, empty if one is.
+	// fault is one of the reasons below, empty if there is a digest.
 	fault string
 }
 
-// Why a call's key names no tenant. No text holds a key.
+// Reasons why a call's key identifies no tenant. They must not contain the key.
 const (
 	faultNoKey      = "the call has no key"
 	faultManyKeys   = "the call has more than one key"
@@ -38,8 +38,8 @@
 	faultUnknownKey = "the key is not known"
 )
 
-// readCredential takes a call's key and its claim of a tenant out of its headers: neither goes any further, and
-// neither is kept.
+// readCredential removes the key and the tenant header from a call's headers, so that neither is
+// forwarded or stored.
 func readCredential(header http.Header, keyName, tenantName string) credential {
 	values := header.Values(keyName)
 	header.Del(keyName)
@@ -55,18 +55,17 @@
 	return credential{digest: bundle.DigestKey(values[0])}
 }
 
-// identify finds the tenant of the call, and binds the call to what is set for it. It returns how to refuse a
-// call that belongs to none and needs one. Nobody else is asked and nothing is kept of a key, so that a flood of
-// unknown ones costs a hash each. Back ends have no keys: the routes that they call are public, and no address is
-// trusted in place of a key, since callers may share the machine with a back end.
-func (c *call) identify(table *routing.Table) *Refusal {
+// identifyTenant sets the tenant of the call and applies the tenant's regions. It rejects a call
+// without a valid key unless its route is public. An address never replaces a key, since callers may
+// share the machine with a back end.
+func (c *call) identifyTenant(table *routing.Table) *Refusal {
 	headers := c.handler.config.Headers
 	if !table.HasTenants() {
 		c.request.Header.Del(headers.Tenant)
 		return nil
 	}
 	c.credential = readCredential(c.request.Header, headers.Key, headers.Tenant)
-	if refusal := c.handler.strictlyStale(); refusal != nil && !c.route.Public {
+	if refusal := c.handler.rejectStaleKeys(); refusal != nil && !c.route.Public {
 		return refusal
 	}
 	if c.credential.fault == "" {
@@ -78,11 +77,11 @@
 		}
 		return c.handler.unknownTenant(c.credential)
 	}
-	return c.bindRegions()
+	return c.restrictRegions()
 }
 
-// bindRegions leaves the regions that both the route and the tenant allow.
-func (c *call) bindRegions() *Refusal {
+// restrictRegions leaves the regions that both the route and the tenant allow.
+func (c *call) restrictRegions() *Refusal {
 	allowed := c.tenant.Regions
 	switch {
 	case len(allowed) == 0:
@@ -98,18 +97,18 @@
 	return &Refusal{Outcome: NotRun, Step: "region", Reason: "no region may serve both the route and the tenant", Status: http.StatusForbidden}
 }
 
-// unknownTenant refuses a call whose key names no tenant. A node that has not heard for a while whether its
-// configuration is the newest cannot say that a key is not known.
-func (h *Handler) unknownTenant(shown credential) *Refusal {
-	if shown.fault != "" {
-		return &Refusal{Outcome: NotRun, Step: "key", Reason: shown.fault, Status: http.StatusUnauthorized}
+// unknownTenant rejects a call whose key identifies no tenant. An unknown key is rejected permanently
+// only if the configuration was confirmed recently.
+func (h *Handler) unknownTenant(shownKey credential) *Refusal {
+	if shownKey.fault != "" {
+		return &Refusal{Outcome: NotRun, Step: "key", Reason: shownKey.fault, Status: http.StatusUnauthorized}
 	}
-	return h.unlessStale(&Refusal{Outcome: NotRun, Step: "key", Reason: faultUnknownKey, Status: http.StatusUnauthorized})
+	return h.retryableIfStale(&Refusal{Outcome: NotRun, Step: "key", Reason: faultUnknownKey, Status: http.StatusUnauthorized})
 }
 
-// strictlyStale refuses calls that need a key once the held state is older than the settings bear: a key may
-// have been taken away since.
-func (h *Handler) strictlyStale() *Refusal {
+// rejectStaleKeys rejects calls that need a key if the configuration is older than KeysStaleLimit,
+// since a key may have been revoked.
+func (h *Handler) rejectStaleKeys() *Refusal {
 	limit := h.config.KeysStaleLimit
 	if limit == 0 {
 		return nil
@@ -118,52 +117,52 @@
 	if confirmed && stale <= limit {
 		return nil
 	}
-	return &Refusal{Outcome: NotRun, Step: "key", Reason: "the node has not heard for too long which keys hold: " + staleText(stale, confirmed),
-		Status: http.StatusServiceUnavailable, RetryAfter: doubtRetry, Fractions: true}
+	return &Refusal{Outcome: NotRun, Step: "key", Reason: "the node has not heard for too long which keys hold: " + formatStaleness(stale, confirmed),
+		Status: http.StatusServiceUnavailable, RetryAfter: unconfirmedRetry, Fractions: true}
 }
 
-// takeQuota lets the call in if its tenant's limit allows.
-func (c *call) takeQuota() *Refusal {
+// chargeQuota counts the call against its tenant's limit and rejects it if the limit is exceeded.
+func (c *call) chargeQuota() *Refusal {
 	if c.tenant == nil || c.tenant.Limit.Rate == 0 || c.handler.config.Quotas == nil {
 		return nil
 	}
 	spare := c.spareTime()
 	admitted, retryAfter := c.handler.config.Quotas.Admit(c.now(), c.tenant.Name, c.route.TargetLatency > 0 && spare < 0)
 	if admitted {
-		c.charged = true
+		c.quotaCharged = true
 		return nil
 	}
 	if spare > minGateRetry {
-		// Who comes later than that is late however soon it is let in.
+		// A later retry would miss the target latency.
 		retryAfter = min(retryAfter, minGateRetry+time.Duration(rand.Float64()*float64(spare-minGateRetry)))
 	}
 	return &Refusal{Outcome: NotRun, Step: "quota", Reason: "tenant " + c.tenant.Name + " is beyond its limit",
 		Status: http.StatusTooManyRequests, RetryAfter: retryAfter, Fractions: true}
 }
 
-// spareTime is what the call's target latency leaves beside the work of its route, negative if it is late.
+// spareTime returns what the target latency leaves besides the service time, negative if it is too late.
 func (c *call) spareTime() time.Duration {
-	work, _ := c.handler.work.of(c.route.Name)
-	return c.route.TargetLatency - (c.now() - c.begun) - time.Duration(patienceServices*float64(work))
+	serviceTime, _ := c.handler.serviceTime.get(c.route.Name)
+	return c.route.TargetLatency - (c.now() - c.firstAttemptAt) - time.Duration(reservedServiceTimes*float64(serviceTime))
 }
 
-// returnQuota gives back what the call took of its tenant's limit, if no back end has had it.
-func (c *call) returnQuota(refusal *Refusal) {
-	if c.charged && refusal != nil && refusal.Outcome == NotRun && c.attempts == 0 {
+// refundQuota refunds the call to its tenant's limit if no back end received it.
+func (c *call) refundQuota(refusal *Refusal) {
+	if c.quotaCharged && refusal != nil && refusal.Outcome == NotRun && c.attempts == 0 {
 		c.handler.config.Quotas.Return(c.now(), c.tenant.Name)
 	}
 }
 
-// keyRevoked reports whether the call's key was taken away since it came: it is not sent any further then.
+// keyRevoked reports whether the call's key was revoked after it arrived.
 func (c *call) keyRevoked() bool {
 	if c.tenant == nil {
 		return false
 	}
-	held := c.handler.view.Load().table.TenantOf(c.credential.digest)
-	return held == nil || held.Name != c.tenant.Name
+	current := c.handler.snapshot.Load().table.TenantOf(c.credential.digest)
+	return current == nil || current.Name != c.tenant.Name
 }
 
-// rank is the priority of the call among others.
+// rank returns the priority of the call in gate queues.
 func (c *call) rank() int {
 	if c.tenant == nil {
 		return c.route.Priority
@@ -171,14 +170,14 @@
 	return c.tenant.Priority*ranksPerTenant + min(c.route.Priority, ranksPerTenant-1)
 }
 
-// markTenant tells a back end whose call it is.
-func (c *call) markTenant(header http.Header) {
+// setTenantHeader sets the header that names the tenant to back ends.
+func (c *call) setTenantHeader(header http.Header) {
 	if c.tenant != nil {
 		header.Set(c.handler.config.Headers.Tenant, c.tenant.Name)
 	}
 }
 
-// tenantName is that of the call's tenant, empty for none.
+// tenantName returns the name of the call's tenant, empty for none.
 func (c *call) tenantName() string {
 	if c.tenant == nil {
 		return ""
--- a/pkg/forward/tenants_test.go
+++ b/pkg/forward/tenants_test.go
@@ -32,7 +32,7 @@
 	RequestID: "Call-Id", Deadline: "Left-Ms", ExpectedInstance: "Want", Caller: "From", NotRun: "Not-Run", Key: "Api-Key", Tenant: "Whose",
 }
 
-// fakeQuotas let some calls in.
+// fakeQuotas admits a limited number of calls.
 type fakeQuotas struct {
 	left, returned atomic.Int64
 }
@@ -46,7 +46,7 @@
 
 func (q *fakeQuotas) Return(time.Duration, string) { q.returned.Add(1) }
 
-// tenantNode is a node of a configuration with tenants.
+// tenantNode is a node whose configuration has tenants.
 type tenantNode struct {
 	*gatedNode
 	handler     *Handler
@@ -56,7 +56,7 @@
 	now         func() time.Duration
 }
 
-// twoTenants are one of each key; the second has a limit and a rank, and may be served in the west only.
+// twoTenants returns a tenant for each key; the second has a rate limit and a priority.
 func twoTenants() []bundle.Tenant {
 	return []bundle.Tenant{
 		{Name: "one", Keys: []bundle.Digest{bundle.DigestKey(keyOne)}},
@@ -98,15 +98,15 @@
 	n.handler.SetTable(routing.New(state))
 }
 
-// seen is what a gate was sent.
-type seen struct {
+// gateRecorder keeps what a gate received.
+type gateRecorder struct {
 	header atomic.Pointer[http.Header]
 	body   atomic.Pointer[string]
 	calls  atomic.Int64
 }
 
-func (s *seen) gate(t *testing.T) string {
-	address, _ := standInGate(t, func(w http.ResponseWriter, r *http.Request) {
+func (s *gateRecorder) gate(t *testing.T) string {
+	address, _ := fakeGate(t, func(w http.ResponseWriter, r *http.Request) {
 		header := r.Header.Clone()
 		body, _ := io.ReadAll(r.Body)
 		for name, values := range r.Trailer {
@@ -116,20 +116,20 @@
 		s.header.Store(&header)
 		s.body.Store(&text)
 		s.calls.Add(1)
-		serving(w, r)
+		respondOK(w, r)
 	})
 	return address
 }
 
-// holdsNoKey reports whether nothing that reached the gate holds a key.
-func (s *seen) holdsNoKey() bool {
+// holdsNoKey reports whether no header at the gate contains a key.
+func (s *gateRecorder) holdsNoKey() bool {
 	text := fmt.Sprint(*s.header.Load())
 	return !strings.Contains(text, keyOne) && !strings.Contains(text, keyTwo) && !strings.Contains(strings.ToLower(text), "api-key")
 }
 
-func TestKeysNameTenants(t *testing.T) {
+func TestKeysIdentifyTenants(t *testing.T) {
 	is := is.New(t)
-	var gate seen
+	var gate gateRecorder
 	n := newTenantNode(t, nil, gate.gate(t))
 	for _, c := range []struct {
 		path   string
@@ -152,11 +152,11 @@
 	} {
 		before := gate.calls.Load()
 		response := n.call(t, "GET", c.path, "", c.header...)
-		is.Equal(response.StatusCode, c.status) // c
+		is.Equal(response.StatusCode, c.status)
 		if c.status != http.StatusOK {
 			is.Equal(outcome(response), string(NotRun))
 			is.Equal(gate.calls.Load(), before)
-			is.Equal(response.Header.Get("Retry-After"), "") // it will not be better later
+			is.Equal(response.Header.Get("Retry-After"), "") // a retry would not help
 			continue
 		}
 		is.Equal(gate.header.Load().Get("Whose"), c.tenant)
@@ -165,9 +165,9 @@
 	}
 }
 
-func TestTwoKeysAreNone(t *testing.T) {
+func TestCallWithTwoKeysIsUnauthorized(t *testing.T) {
 	is := is.New(t)
-	var gate seen
+	var gate gateRecorder
 	n := newTenantNode(t, nil, gate.gate(t))
 	request, err := http.NewRequest(http.MethodGet, n.URL+"/safe/x", http.NoBody)
 	is.NoErr(err)
@@ -180,13 +180,13 @@
 	is.Equal(gate.calls.Load(), int64(0))
 }
 
-// Large bodies, which are sent by another way, trailers and repeats carry no key, either.
-func TestNoWayCarriesAKey(t *testing.T) {
+// Guards against forwarding a key with a large body, a trailer or a retry.
+func TestKeysAreNeverForwarded(t *testing.T) {
 	is := is.New(t)
-	var gate seen
-	failing, failures := standInGate(t, func(w http.ResponseWriter, r *http.Request) {
+	var gate gateRecorder
+	failing, failures := fakeGate(t, func(w http.ResponseWriter, r *http.Request) {
 		if strings.Contains(strings.ToLower(fmt.Sprint(r.Header)), "api-key") {
-			t.Error("a gate got the key")
+			t.Error("a gate received the key")
 		}
 		w.Header().Set("Call-Id", r.Header.Get("Call-Id"))
 		w.WriteHeader(http.StatusInternalServerError)
@@ -214,31 +214,31 @@
 	is.True(failures.Load() >= 1)
 }
 
-// A key that was taken away holds no longer, also for calls that are on their way between tries.
-func TestRevokedKeysEndAtOnce(t *testing.T) {
+// A revoked key is rejected at once, also for a call between two attempts.
+func TestRevokedKeysAreRejectedAtOnce(t *testing.T) {
 	is := is.New(t)
 	var n *tenantNode
-	full, asked := standInGate(t, func(w http.ResponseWriter, r *http.Request) {
+	full, received := fakeGate(t, func(w http.ResponseWriter, r *http.Request) {
 		n.setTenants([]bundle.Tenant{{Name: "one"}, {Name: "other", Keys: []bundle.Digest{bundle.DigestKey("another")}}})
-		refusing(exchange.ReasonFull, NotRun)(w, r)
+		rejectWith(exchange.ReasonFull, NotRun)(w, r)
 	})
 	n = newTenantNode(t, nil, full, full)
 	response := n.call(t, "GET", "/safe/x", "", "Api-Key", keyOne)
 	is.Equal(response.StatusCode, http.StatusUnauthorized)
 	is.Equal(outcome(response), string(NotRun))
-	is.Equal(asked.Load(), int64(1)) // the other gate got nothing of it
+	is.Equal(received.Load(), int64(1)) // the other gate was not attempted
 	is.Equal(n.call(t, "GET", "/safe/x", "", "Api-Key", keyOne).StatusCode, http.StatusUnauthorized)
-	is.Equal(asked.Load(), int64(1))
-	is.Equal(n.call(t, "GET", "/safe/x", "", "Api-Key", "another").StatusCode, http.StatusServiceUnavailable) // a new key holds at once
+	is.Equal(received.Load(), int64(1))
+	is.Equal(n.call(t, "GET", "/safe/x", "", "Api-Key", "another").StatusCode, http.StatusServiceUnavailable) // a new key is valid at once
 }
 
-// A node that is cut off cannot say that a key is unknown, but goes on with those that it knows, unless the settings
-// are strict.
-func TestKeysOfANodeThatIsCutOff(t *testing.T) {
+// A node without recent confirmation rejects unknown keys only temporarily. Known keys stay valid unless
+// KeysStaleLimit is set and exceeded.
+func TestKeysOnADisconnectedNode(t *testing.T) {
 	for _, strict := range []bool{false, true} {
 		t.Run(fmt.Sprint("strict ", strict), func(t *testing.T) {
 			is := is.New(t)
-			var gate seen
+			var gate gateRecorder
 			n := newTenantNode(t, func(cfg *Config) {
 				if strict {
 					cfg.KeysStaleLimit = 5 * time.Second
@@ -249,7 +249,7 @@
 			is.Equal(response.StatusCode, http.StatusServiceUnavailable)
 			is.Equal(outcome(response), string(NotRun))
 			is.True(response.Header.Get("Retry-After") != "")
-			is.Equal(n.call(t, "GET", "/safe/x", "").StatusCode, http.StatusUnauthorized) // no key is none, whatever is new
+			is.Equal(n.call(t, "GET", "/safe/x", "").StatusCode, http.StatusUnauthorized) // a missing key is rejected permanently
 			is.Equal(n.call(t, "GET", "/safe/x", "", "Api-Key", keyOne).StatusCode, http.StatusOK)
 			n.confirmedAt.Store(int64(6 * time.Second))
 			want := http.StatusOK
@@ -262,20 +262,20 @@
 	}
 }
 
-// No address stands for a key: callers may share the machine with a back end, whose calls go by public routes.
-func TestNoAddressStandsForAKey(t *testing.T) {
+// Guards against trusting the address of a back end, which callers on its machine share.
+func TestAddressDoesNotReplaceAKey(t *testing.T) {
 	is := is.New(t)
-	var gate seen
+	var gate gateRecorder
 	n := newTenantNode(t, func(cfg *Config) { cfg.BackendHost = netip.MustParseAddr("127.0.0.1") }, gate.gate(t))
 	is.Equal(n.call(t, "GET", "/safe/x", "", "Whose", "one").StatusCode, http.StatusUnauthorized)
 	is.Equal(n.call(t, "GET", "/public/x", "", "Whose", "one").StatusCode, http.StatusOK)
 	is.Equal(gate.header.Load().Get("Whose"), "")
 }
 
-// A tenant's rank goes before that of the route, and its regions bind together with the route's.
-func TestTenantsBindTheirCalls(t *testing.T) {
+// A tenant's priority takes precedence over the route's, and both restrict the regions.
+func TestTenantPriorityAndRegionsApplyToCalls(t *testing.T) {
 	is := is.New(t)
-	var gate seen
+	var gate gateRecorder
 	n := newTenantNode(t, nil, gate.gate(t))
 	n.call(t, "GET", "/safe/x", "", "Api-Key", keyOne)
 	is.Equal(gate.header.Load().Get(exchange.HeaderPriority), "3")
@@ -292,11 +292,11 @@
 	is.Equal(n.call(t, "POST", "/unsafe/x", "", "Api-Key", keyOne).StatusCode, http.StatusServiceUnavailable) // z is in no region
 }
 
-// What is beyond the limit is refused before anything else is asked, and says when to come back; what was let in and
-// reached no back end is given back.
-func TestLimitsAreAskedOnce(t *testing.T) {
+// A call beyond the limit is rejected before any gate is attempted, with Retry-After. A call that
+// reached no back end is refunded.
+func TestQuotaIsChargedOncePerCall(t *testing.T) {
 	is := is.New(t)
-	var gate seen
+	var gate gateRecorder
 	n := newTenantNode(t, nil, gate.gate(t))
 	n.quotas.left.Store(1)
 	is.Equal(n.call(t, "GET", "/safe/x", "", "Api-Key", keyTwo).StatusCode, http.StatusOK)
@@ -306,25 +306,25 @@
 	is.Equal(outcome(response), string(NotRun))
 	after, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
 	is.NoErr(err)
-	is.True(after >= minGateRetry.Seconds() && after <= 0.2) // while it can be answered within its target of 200 ms
+	is.True(after >= minGateRetry.Seconds() && after <= 0.2) // while the target of 200 ms can be met
 	is.Equal(gate.calls.Load(), int64(1))
 	is.Equal(n.call(t, "GET", "/safe/x", "", "Api-Key", keyOne).StatusCode, http.StatusOK) // it has no limit
 	is.Equal(n.quotas.returned.Load(), int64(0))
 
-	full, _ := standInGate(t, refusing(exchange.ReasonFull, NotRun))
-	refused := newTenantNode(t, nil, full)
-	is.Equal(refused.call(t, "GET", "/safe/x", "", "Api-Key", keyTwo).StatusCode, http.StatusServiceUnavailable)
-	is.Equal(refused.quotas.returned.Load(), int64(1))
-	broken, _ := standInGate(t, refusing(exchange.ReasonBroken, Unknown))
+	full, _ := fakeGate(t, rejectWith(exchange.ReasonFull, NotRun))
+	rejected := newTenantNode(t, nil, full)
+	is.Equal(rejected.call(t, "GET", "/safe/x", "", "Api-Key", keyTwo).StatusCode, http.StatusServiceUnavailable)
+	is.Equal(rejected.quotas.returned.Load(), int64(1))
+	broken, _ := fakeGate(t, rejectWith(exchange.ReasonBroken, Unknown))
 	unknown := newTenantNode(t, nil, broken)
 	is.Equal(unknown.call(t, "POST", "/unsafe/x", "", "Api-Key", keyTwo).StatusCode, http.StatusBadGateway)
 	is.Equal(unknown.quotas.returned.Load(), int64(0)) // it may have run
 }
 
-// Without tenants a header of that name is the callers' own affair.
-func TestWithoutTenantsKeysPass(t *testing.T) {
+// Without tenants the key header is forwarded unchanged.
+func TestKeysAreForwardedWithoutTenants(t *testing.T) {
 	is := is.New(t)
-	var gate seen
+	var gate gateRecorder
 	n := newTenantNode(t, nil, gate.gate(t))
 	n.setTenants(nil)
 	is.Equal(n.call(t, "GET", "/safe/x", "", "Api-Key", "mine", "Whose", "me").StatusCode, http.StatusOK)
--- a/pkg/forward/throttles.go
+++ b/pkg/forward/throttles.go
@@ -7,38 +7,38 @@
 	"bramblelift/pkg/retry"
 )
 
-// throttleKey names calls that gates refuse alike: those of one route have the same rank and about
-// the same work, and each service that takes a part of the route has room of its own.
+// throttleKey groups calls that gates reject alike: calls of one route have the same rank and similar
+// service times, and each service has its own capacity.
 type throttleKey struct {
 	route   string
 	service string
 }
 
-// throttles holds the throttles of all routes that calls came to.
+// throttles holds one throttle for each route and service.
 type throttles struct {
-	mu   sync.Mutex
-	held map[throttleKey]*retry.Throttle
+	mu    sync.Mutex
+	byKey map[throttleKey]*retry.Throttle
 }
 
 func newThrottles() *throttles {
-	return &throttles{held: map[throttleKey]*retry.Throttle{}}
+	return &throttles{byKey: map[throttleKey]*retry.Throttle{}}
 }
 
-func (t *throttles) of(route, service string) *retry.Throttle {
+func (t *throttles) get(route, service string) *retry.Throttle {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	key := throttleKey{route: route, service: service}
-	throttle := t.held[key]
+	throttle := t.byKey[key]
 	if throttle == nil {
 		throttle = &retry.Throttle{}
-		t.held[key] = throttle
+		t.byKey[key] = throttle
 	}
 	return throttle
 }
 
-// keep forgets the routes that a table no longer has.
-func (t *throttles) keep(known func(route string) bool) {
+// prune drops the routes that the table does not have.
+func (t *throttles) prune(known func(route string) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	maps.DeleteFunc(t.held, func(key throttleKey, _ *retry.Throttle) bool { return !known(key.route) })
+	maps.DeleteFunc(t.byKey, func(key throttleKey, _ *retry.Throttle) bool { return !known(key.route) })
 }
--- a/pkg/forward/doubt_test.go
+++ b/pkg/forward/unconfirmed_test.go
@@ -9,9 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// A path that the table does not take may be of a version that the node has not heard of: unless
-// it was confirmed lately, it must not say that there is no such route.
-func TestUnknownPathIsRefusedForGoodOnlyWhenConfirmedLately(t *testing.T) {
+// Guards against a permanent rejection of a path that may belong to a newer configuration.
+func TestUnknownPathIsNotFoundOnlyIfConfirmedRecently(t *testing.T) {
 	is := is.New(t)
 	var confirmedAt, now atomic.Int64
 	var confirmed atomic.Bool
@@ -26,10 +25,10 @@
 	now.Store(int64(time.Second))
 	is.Equal(unknown().StatusCode, http.StatusNotFound)
 	now.Store(int64(time.Second + time.Millisecond))
-	refused := unknown()
-	is.Equal(refused.StatusCode, http.StatusServiceUnavailable)
-	is.Equal(outcome(refused), string(NotRun))
-	is.Equal(refused.Header.Get("Retry-After"), "0.300")
+	rejected := unknown()
+	is.Equal(rejected.StatusCode, http.StatusServiceUnavailable)
+	is.Equal(outcome(rejected), string(NotRun))
+	is.Equal(rejected.Header.Get("Retry-After"), "0.300")
 	confirmedAt.Store(int64(time.Second))
 	is.Equal(unknown().StatusCode, http.StatusNotFound)
 }
--- a/pkg/forward/share_test.go
+++ b/pkg/forward/weighted_route_test.go
@@ -15,9 +15,9 @@
 	"github.com/matryer/is"
 )
 
-// sharedRoute is a node's handler with a route that is shared among two services, 70 to 30. The second one's
-// back end stands in zone y.
-func sharedRoute(oldGate, newGate string, regions map[string]string, ordered *orders.Table, homes ...string) *Handler {
+// weightedRoute returns a handler with a route shared by two services, 70 to 30. The back end of the
+// second is in zone y.
+func weightedRoute(oldGate, newGate string, regions map[string]string, ordered *orders.Table, allowedRegions ...string) *Handler {
 	started := time.Now()
 	handler := New(Config{Node: "n", Zone: "z", Now: func() time.Duration { return time.Since(started) }, Headers: gatedHeaders})
 	handler.SetTable(routing.Next(nil, &distribution.State{
@@ -26,7 +26,7 @@
 			Routes: []bundle.Route{{
 				Name: "shared", Host: "shop.example", PathPrefix: "/", Kind: bundle.KindSafe, MaxAttempts: 2,
 				Shares:  []bundle.Share{{Service: "old", Weight: 70}, {Service: "new", Weight: 30}},
-				Timeout: bundle.Duration(400 * time.Millisecond), Regions: homes,
+				Timeout: bundle.Duration(400 * time.Millisecond), Regions: allowedRegions,
 			}},
 		}},
 		Endpoints: distribution.EndpointTable{
@@ -38,37 +38,36 @@
 	return handler
 }
 
-// Calls of a route that is shared among services go to them by weight, also while one of them has no
-// room, is cold, evacuated or in no region that may serve the route: what does not fit there is refused, not moved
-// to the other.
-func TestCallsKeepToTheirPartOfASharedRoute(t *testing.T) {
+// Guards against moving calls of a weighted route to the other service when their own one is full,
+// cold, evacuated or in an excluded region: these calls are rejected.
+func TestWeightsHoldIfOneServiceIsUnavailable(t *testing.T) {
 	var none, zoneEvacuated *orders.Table
 	zoneEvacuated = none.With(orders.Change{Evacuate: &orders.Evacuation{Zone: "y"}}, 1)
 	regions := map[string]string{"z": "east", "y": "west"}
 	for name, test := range map[string]struct {
-		reason  exchange.Reason
-		ordered *orders.Table
-		homes   []string
+		reason         exchange.Reason
+		ordered        *orders.Table
+		allowedRegions []string
 	}{
 		"full": {reason: exchange.ReasonFull}, "cold": {reason: exchange.ReasonCold}, "link": {reason: exchange.ReasonLink},
-		"evacuated": {ordered: zoneEvacuated}, "late node": {reason: exchange.ReasonEvacuated}, "other region": {homes: []string{"east"}},
+		"evacuated": {ordered: zoneEvacuated}, "late node": {reason: exchange.ReasonEvacuated}, "other region": {allowedRegions: []string{"east"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			refuses, _ := standInGate(t, refusing(test.reason, NotRun))
-			free, served := standInGate(t, serving)
-			handler := sharedRoute(free, refuses, regions, test.ordered, test.homes...)
+			rejecting, _ := fakeGate(t, rejectWith(test.reason, NotRun))
+			free, served := fakeGate(t, respondOK)
+			handler := weightedRoute(free, rejecting, regions, test.ordered, test.allowedRegions...)
 			const calls = 600
-			refused := 0
+			rejected := 0
 			for range calls {
 				w := httptest.NewRecorder()
 				handler.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "http://shop.example/x", nil))
 				if w.Code == http.StatusServiceUnavailable {
-					refused++
+					rejected++
 				}
 			}
-			is.Equal(int(served.Load())+refused, calls)
-			share := float64(refused) / calls
+			is.Equal(int(served.Load())+rejected, calls)
+			share := float64(rejected) / calls
 			is.True(share > 0.2 && share < 0.4) // five standard deviations of 0.3
 		})
 	}
