--- a/pkg/rollout/budget.go
+++ b/pkg/rollout/budget.go
@@ -8,93 +8,96 @@
 )
 
 const (
-	// spendable is the part of the exposure that is granted: the rest is for calls that counted as having
-	// reached the service twice without the gates' knowing.
-	spendable = 0.9
-	// slackKept is kept of the slack for calls that gates let in before they heard of the order.
-	slackKept = 8
-	// grantTime is for how long a grant should last: over a change of leader or some lost reports.
-	grantTime = 2 * time.Second
-	// minGrant is the least that a gate is granted while there is budget.
+	// grantableFraction is the part of the exposure share that is granted. The rest covers retries that
+	// gates did not recognise, so that one call was counted twice.
+	grantableFraction = 0.9
+	// reservedSlack is how many calls of the slack are reserved for those that gates admit before they
+	// receive the order.
+	reservedSlack = 8
+	// grantDuration is how long a grant should last, to cover a change of leader or some lost reports.
+	grantDuration = 2 * time.Second
+	// minGrant is the smallest grant of a gate while there is budget left.
 	minGrant = 2
 )
 
-// budget is how many calls the new version may have got so far.
+// budget returns how many calls the gates of the new version may have been granted by this time.
 func (j *Judge) budget(now time.Time, held Rollout) uint64 {
-	calls := float64(j.reached())
+	calls := float64(j.reachedCalls())
 	if held.Share == Thousandths {
-		calls += j.expected(now, held)
+		calls += j.expectedCalls(now, held)
 	}
-	slack := j.policy.ExposureSlack - min(j.policy.ExposureSlack, slackKept)
-	return uint64(spendable*j.policy.ExposureShare*calls) + slack
+	slack := j.policy.ExposureSlack - min(j.policy.ExposureSlack, reservedSlack)
+	return uint64(grantableFraction*j.policy.ExposureShare*calls) + slack
 }
 
-// reached is how many calls are known to have reached the service since the order: what all gates have
-// counted, or what was committed before this judge and what gates counted since, whichever is more. Either
-// may have missed some; neither counts one twice.
-func (j *Judge) reached() uint64 {
-	all, since := uint64(0), j.before
-	for _, l := range j.lives {
-		counted := l.counted()
+// reachedCalls returns how many distinct calls are known to have reached the service since the order. It
+// is the larger of two lower bounds: the sum over all reported runs, and the committed count plus what
+// gates counted after this judge began. Neither counts a call twice.
+func (j *Judge) reachedCalls() uint64 {
+	all, since := uint64(0), j.reachedBefore
+	for _, run := range j.runs {
+		counted := run.distinctCalls()
 		all += counted
-		since += counted - min(counted, l.first)
+		since += counted - min(counted, run.firstDistinct)
 	}
 	return max(all, since)
 }
 
-// expected is how many more calls will reach the service until the deadline, if they come as they did:
-// the last stage needs more than a tenth of the calls so far, and counts on calls to come.
-func (j *Judge) expected(now time.Time, held Rollout) float64 {
+// expectedCalls estimates how many calls will reach the service until the deadline at the current rate.
+// The last stage needs them in its budget, since it takes more than a tenth of the calls so far.
+func (j *Judge) expectedCalls(now time.Time, held Rollout) float64 {
 	left := held.Deadline().Sub(now)
 	if left <= 0 {
 		return 0
 	}
-	return spendable * j.rate(now, held) * left.Seconds()
+	return grantableFraction * j.callRate(now, held) * left.Seconds()
 }
 
-// rate is how many calls reach the service a second: over all the time or of late, whichever is less.
-func (j *Judge) rate(now time.Time, held Rollout) float64 {
+// callRate returns the calls per second that reach the service: the lower of the average since the order
+// and the recent rate.
+func (j *Judge) callRate(now time.Time, held Rollout) float64 {
 	since := now.Sub(time.UnixMilli(held.AtMillis)).Seconds()
 	if since <= 0 {
 		return 0
 	}
-	rate := float64(j.reached()) / since
-	if len(j.counts) == 0 {
-		return rate
+	callRate := float64(j.reachedCalls()) / since
+	if len(j.reachedHistory) == 0 {
+		return callRate
 	}
-	first := j.counts[0]
+	first := j.reachedHistory[0]
 	if span := now.Sub(first.at); span >= time.Second {
-		rate = min(rate, float64(j.reached()-min(j.reached(), first.reached))/span.Seconds())
+		callRate = min(callRate, float64(j.reachedCalls()-min(j.reachedCalls(), first.reachedCalls))/span.Seconds())
 	}
-	return rate
+	return callRate
 }
 
-// grant returns the rollout with the grants that the budget allows, and whether gates need them now. Cold
-// back ends get none before the canary ends: their answers tell nothing of times.
+// grant returns the rollout with the grants that the budget allows, and whether the step is needed. Cold
+// back ends get no grant during the canary stage, since their response times say nothing about the
+// version.
 func (j *Judge) grant(now time.Time, held Rollout, view View) (Rollout, bool) {
 	next := held
 	next.Grants = slices.Clone(held.Grants)
-	if now.Sub(j.begun) >= settleTime {
-		next.endLives(view)
+	if now.Sub(j.startedAt) >= settleTime {
+		next.retireGrants(view)
 	}
-	gates := j.grantees(now, view)
+	runs := j.connectedTargetRuns(now, view)
 	if held.Share == canaryShare && now.Sub(time.UnixMilli(held.AtMillis)) < planFor(held.Duration).rampAt() {
-		gates = slices.DeleteFunc(gates, func(l *life) bool { return l.report.Cold })
+		runs = slices.DeleteFunc(runs, func(run *processRun) bool { return run.report.Cold })
 	}
-	if len(gates) == 0 {
+	if len(runs) == 0 {
 		return next, next.Spent != held.Spent
 	}
-	share := j.rate(now, held) * float64(held.Share) / Thousandths * grantTime.Seconds() / float64(len(gates))
-	short, wanted := false, make([]uint64, len(gates))
+	expected := j.callRate(now, held) * float64(held.Share) / Thousandths * grantDuration.Seconds() / float64(len(runs))
+	short, wanted := false, make([]uint64, len(runs))
 	var sum uint64
-	for i, l := range gates {
-		need := needFor(max(share, l.perSecond*grantTime.Seconds()))
-		upto := next.upto(l.report.Life)
-		if target := l.report.Admitted + need; target > upto {
-			wanted[i] = target - upto
+	for i, run := range runs {
+		need := callsNeeded(max(expected, run.admitRate*grantDuration.Seconds()))
+		limit := next.grantLimit(run.report.Life)
+		if target := run.report.Admitted + need; target > limit {
+			wanted[i] = target - limit
 			sum += wanted[i]
 		}
-		short = short || upto < l.report.Admitted+max(1, need/2)
+		short = short || limit < run.report.Admitted+max(1, need/2)
 	}
 	if !short || sum == 0 {
 		return next, next.Spent != held.Spent
@@ -105,42 +108,44 @@
 	}
 	granted := false
 	free := budget - exposed
-	for i, l := range gates {
+	for i, run := range runs {
 		more := wanted[i]
 		if sum > free {
 			more = more * free / sum
 		}
 		if more > 0 {
 			granted = true
-			next.raise(l.report.Life, more)
+			next.increaseGrant(run.report.Life, more)
 		}
 	}
 	return next, granted || next.Spent != held.Spent
 }
 
-// needFor is how many calls a gate needs that expects some number: as many, and what chance adds.
-func needFor(expected float64) uint64 {
+// callsNeeded returns how many calls a gate should be granted if it expects some number of them, with two
+// standard deviations of headroom.
+func callsNeeded(expected float64) uint64 {
 	return max(minGrant, uint64(expected+2*math.Sqrt(expected)))
 }
 
-// grantees are the lives of the new version that control hears, in order of life.
-func (j *Judge) grantees(now time.Time, view View) []*life {
-	var list []*life
+// connectedTargetRuns returns the process runs of the new version's gates that reported within LeaseTime,
+// sorted by Life.
+func (j *Judge) connectedTargetRuns(now time.Time, view View) []*processRun {
+	var list []*processRun
 	for _, g := range view.Gates {
-		l := j.lives[g.Life]
-		if l != nil && l.target && now.Sub(l.heard) <= LeaseTime {
-			list = append(list, l)
+		run := j.runs[g.Life]
+		if run != nil && run.target && now.Sub(run.reportedAt) <= LeaseTime {
+			list = append(list, run)
 		}
 	}
-	slices.SortFunc(list, func(a, b *life) int { return cmp.Compare(a.report.Life, b.report.Life) })
+	slices.SortFunc(list, func(a, b *processRun) int { return cmp.Compare(a.report.Life, b.report.Life) })
 	return list
 }
 
-// endLives counts what gates that are gone were granted as spent. While a gate of the new version is there
-// that has not told its life, any of the lives may be its.
-func (r *Rollout) endLives(view View) {
-	unknown := func(g GateState) bool { return g.Version == r.Version && g.Life == 0 }
-	if slices.ContainsFunc(view.Gates, unknown) {
+// retireGrants moves the grants of gates that no longer exist to Spent. It keeps all grants while a gate
+// of the new version has not reported its Life, since any of them may belong to it.
+func (r *Rollout) retireGrants(view View) {
+	runUnknown := func(g GateState) bool { return g.Version == r.Version && g.Life == 0 }
+	if slices.ContainsFunc(view.Gates, runUnknown) {
 		return
 	}
 	r.Grants = slices.DeleteFunc(r.Grants, func(grant Grant) bool {
@@ -152,21 +157,21 @@
 	})
 }
 
-func (r *Rollout) findGrant(life uint64) (int, bool) {
-	return slices.BinarySearchFunc(r.Grants, life, func(g Grant, life uint64) int { return cmp.Compare(g.Life, life) })
+func (r *Rollout) findGrant(runID uint64) (int, bool) {
+	return slices.BinarySearchFunc(r.Grants, runID, func(g Grant, runID uint64) int { return cmp.Compare(g.Life, runID) })
 }
 
-func (r *Rollout) upto(life uint64) uint64 {
-	if i, found := r.findGrant(life); found {
+func (r *Rollout) grantLimit(runID uint64) uint64 {
+	if i, found := r.findGrant(runID); found {
 		return r.Grants[i].Upto
 	}
 	return 0
 }
 
-func (r *Rollout) raise(life, more uint64) {
-	i, found := r.findGrant(life)
+func (r *Rollout) increaseGrant(runID, more uint64) {
+	i, found := r.findGrant(runID)
 	if !found {
-		r.Grants = slices.Insert(r.Grants, i, Grant{Life: life})
+		r.Grants = slices.Insert(r.Grants, i, Grant{Life: runID})
 	}
 	r.Grants[i].Upto += more
 }
--- a/pkg/rollout/display.go
+++ b/pkg/rollout/display.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Median is about the median of the counted times, rounded up to the end of its bucket; zero for none.
+// Median returns the median of the counted times, rounded up to the end of its bucket, and zero if there
+// are none.
 func (t Times) Median() time.Duration {
 	if t == (Times{}) {
 		return 0
--- a/pkg/rollout/gate.go
+++ b/pkg/rollout/gate.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// LeaseTime is how long a gate goes by the held state after control confirmed it last. It outlasts
-// some lost confirmations (they come several times a second), and leaves a rollback's bound of some
-// seconds time for the verdict.
+// LeaseTime is how long a gate acts on its copy of the rollout after the control plane last confirmed it.
+// It covers several lost confirmations and is short enough for a rollback within seconds.
 const LeaseTime = 2 * time.Second
 
-// Unlimited is the allowance of a gate that is not bounded.
+// Unlimited is the allowance of a gate without a bound.
 const Unlimited = math.MaxUint64
 
-// Allowance is how many calls the gate of a back end of the new version may have let in since the order.
+// Allowance returns how many calls the gate of a back end of the new version may have admitted in total
+// since the order.
 func Allowance(r Rollout, life uint64) uint64 {
 	switch r.Phase {
 	case Closing, Completed:
@@ -27,24 +27,23 @@
 	return 0
 }
 
-// Gate is what decides whether a back end's gate lets in one more call.
+// Gate is the state that decides whether a back end's gate admits one more call.
 type Gate struct {
-	// Version is the back end's, Life the gate's.
+	// Version is the version of the back end, Life the gate's process run.
 	Version string
 	Life    uint64
-	// Admitted is how many calls the gate has let in since it heard of the order.
+	// Admitted is how many calls the gate has admitted since it received the order.
 	Admitted uint64
-	// Confirmed is how long ago control confirmed the node's held state.
+	// Confirmed is the time since the control plane last confirmed the node's copy of the rollout.
 	Confirmed time.Duration
 	// Cold is set while the back end is cold.
 	Cold bool
 }
 
-// Admits reports whether a gate lets in one more call while a rollout is held. A gate of the new version
-// needs a grant that control confirmed lately, and lets nothing in for the canary while its back end is cold: such
-// calls are exposed and tell nothing of the version's times. A gate of another version closes only at the end, and opens
-// again when it loses control before the end is confirmed: the gates of the new version let in nothing
-// then.
+// Admits reports whether the gate admits one more call during a rollout. A gate of the new version needs a
+// grant confirmed within LeaseTime, and rejects canary calls while its back end is cold. A gate of another
+// version closes in the Closing phase, and reopens if its lease expires before Completed, because gates of
+// the new version reject everything then.
 func (g Gate) Admits(r Rollout) bool {
 	valid := g.Confirmed <= LeaseTime
 	if g.Version == r.Version {
--- a/pkg/rollout/gate_test.go
+++ b/pkg/rollout/gate_test.go
@@ -7,32 +7,32 @@
 	"github.com/matryer/is"
 )
 
-func TestGatesLetInWhatTheyWereGranted(t *testing.T) {
+func TestGatesAdmitOnlyGrantedCalls(t *testing.T) {
 	is := is.New(t)
 	r := Rollout{Version: "v2", Phase: Running, Share: 40, Grants: []Grant{{Life: 7, Upto: 5}}}
-	fresh := Gate{Version: "v2", Life: 7, Admitted: 4}
-	is.True(fresh.Admits(r))
-	fresh.Admitted = 5
-	is.True(!fresh.Admits(r)) // used up
-	fresh.Admitted = 4
-	fresh.Confirmed = LeaseTime + time.Millisecond
-	is.True(!fresh.Admits(r)) // the lease is over
-	fresh.Confirmed = 0
-	fresh.Cold = true
-	is.True(!fresh.Admits(r)) // a cold canary tells nothing
+	target := Gate{Version: "v2", Life: 7, Admitted: 4}
+	is.True(target.Admits(r))
+	target.Admitted = 5
+	is.True(!target.Admits(r)) // the grant is used up
+	target.Admitted = 4
+	target.Confirmed = LeaseTime + time.Millisecond
+	is.True(!target.Admits(r)) // the lease has expired
+	target.Confirmed = 0
+	target.Cold = true
+	is.True(!target.Admits(r)) // times of a cold canary are not comparable
 	r.Share = 250
-	is.True(fresh.Admits(r)) // from then on cold ones bear their part
+	is.True(target.Admits(r)) // after the canary, cold back ends take their share
 	r.Share = 40
 	is.True(!Gate{Version: "v2", Life: 8}.Admits(r))
 	is.True(Gate{Version: "v1", Life: 9}.Admits(r))
 	is.True(Gate{Version: "v1", Life: 9, Confirmed: time.Hour}.Admits(r)) // the old version needs no lease
 }
 
-func TestGatesAtTheEnds(t *testing.T) {
+func TestGatesFollowFinalPhases(t *testing.T) {
 	for _, c := range []struct {
 		phase             Phase
 		fresh, old        bool
-		freshCut, oldOpen bool // without control
+		freshCut, oldOpen bool // while disconnected from the control plane
 	}{
 		{Closing, true, false, false, true},
 		{Completed, true, false, true, false},
@@ -54,10 +54,10 @@
 	r := Rollout{Version: "v2", Phase: Running, Share: 40}
 	is.Equal(Choose(r, 39, false, false), NewVersion)
 	is.Equal(Choose(r, 40, false, false), OldVersions)
-	is.Equal(Choose(r, 0, true, false), OldVersions) // a repeat
+	is.Equal(Choose(r, 0, true, false), OldVersions) // a retry
 	is.Equal(Choose(r, 0, false, true), OldVersions) // a careful node
 	r.Phase = Closing
-	is.Equal(Choose(r, 999, true, true), NewVersion) // nobody else takes it
+	is.Equal(Choose(r, 999, true, true), NewVersion) // the old versions take no calls
 	r.Phase = Reverting
 	is.Equal(Choose(r, 0, false, false), OldVersions)
 
@@ -66,7 +66,7 @@
 	is.True(AnyVersion.Allows(r, "v1") && AnyVersion.Allows(r, "v2"))
 }
 
-func TestNodesActOnFirstSigns(t *testing.T) {
+func TestNodesStopAfterRepeatedFailures(t *testing.T) {
 	is := is.New(t)
 	r := Rollout{Number: 1, Phase: Running, Share: 40}
 	var c Caution
@@ -80,12 +80,12 @@
 	c.Note(r, true)
 	is.True(c.Careful(r))
 	c.Note(r, false)
-	is.True(c.Careful(r)) // until control says more
+	is.True(c.Careful(r)) // until the share changes
 	r.Share = 250
 	is.True(!c.Careful(r))
 }
 
-func TestTalliesLeaveOutColdTimes(t *testing.T) {
+func TestTallyOmitsColdTimes(t *testing.T) {
 	is := is.New(t)
 	var tally Tally
 	for range 4 {
@@ -106,7 +106,7 @@
 	is.Equal(report.Routes[0].Times.total(), uint64(1))
 }
 
-func TestBucketsDoubleEveryTwo(t *testing.T) {
+func TestTwoBucketsSpanADoubling(t *testing.T) {
 	is := is.New(t)
 	is.Equal(bucketOf(0), 0)
 	is.Equal(bucketOf(firstBucket), 0)
--- a/pkg/rollout/judge_test.go
+++ b/pkg/rollout/judge_test.go
@@ -7,39 +7,39 @@
 	"github.com/matryer/is"
 )
 
-// endOf plays a world and returns how it ended.
-func endOf(w world) result {
+// simulate runs a scenario with the first seed.
+func simulate(w scenario) result {
 	if w.zones == nil {
 		w.zones = []float64{0.5, 0.3, 0.2}
 	}
 	w.coldFactor = 2
-	return newFake(1, w).play()
+	return newSimulation(1, w).run()
 }
 
-func TestAServiceWithoutCallsIsRolledOut(t *testing.T) {
+func TestRolloutCompletesWithoutCalls(t *testing.T) {
 	is := is.New(t)
-	r := endOf(world{duration: 12 * time.Second, old: 4, new: 4})
+	r := simulate(scenario{duration: 12 * time.Second, old: 4, new: 4})
 	is.Equal(r.phase, Completed)
 	is.True(r.endedAt < 12*time.Second)
 }
 
-func TestAVersionWithoutBackendsIsRolledBack(t *testing.T) {
+func TestVersionWithoutBackendsIsRolledBack(t *testing.T) {
 	is := is.New(t)
-	r := endOf(world{duration: 12 * time.Second, rate: 500, old: 8})
+	r := simulate(scenario{duration: 12 * time.Second, rate: 500, old: 8})
 	is.Equal(r.phase, RolledBack)
 	is.Equal(r.exposed, 0)
 }
 
-func TestOldVersionsThatFailAreReplaced(t *testing.T) {
+func TestRolloutCompletesWhenOldVersionFails(t *testing.T) {
 	is := is.New(t)
-	r := endOf(world{duration: 12 * time.Second, rate: 500, old: 8, new: 8, sickOld: 1})
+	r := simulate(scenario{duration: 12 * time.Second, rate: 500, old: 8, new: 8, failingOld: 1})
 	is.Equal(r.phase, Completed)
 }
 
-func TestClosingWaitsForNodesAndCalls(t *testing.T) {
+func TestClosingWaitsForConfirmationsAndCallsInFlight(t *testing.T) {
 	held := Rollout{Service: "s", Version: "v2", Number: 1, Phase: Closing, Share: Thousandths, Duration: 12 * time.Second,
-		AtMillis: noon.UnixMilli(), ShareAtMillis: noon.UnixMilli()}
-	ready := func() View {
+		AtMillis: orderTime.UnixMilli(), ShareAtMillis: orderTime.UnixMilli()}
+	confirmedView := func() View {
 		return View{
 			Holders: []Holder{{Name: "a", Confirmed: true}, {Name: "b", Confirmed: true}},
 			Gates:   []GateState{{Version: "v1", Confirmed: true}, {Version: "v2", Life: 7}},
@@ -61,74 +61,74 @@
 		{"a node is cut off", func(v *View) { v.Holders[1] = Holder{Silent: time.Minute} }, time.Second, true},
 		{"a gate is cut off", func(v *View) { v.Gates[0] = GateState{Version: "v1", Silent: time.Minute} }, time.Second, false},
 		{"a gate with calls was just cut off", func(v *View) { v.Gates[0].AtWork, v.Gates[0].Silent = 1, LeaseTime+time.Millisecond }, 5 * time.Second, false},
-		{"a gate with calls was cut off", func(v *View) { v.Gates[0].AtWork, v.Gates[0].Silent = 1, LeaseTime+drainTime }, 5 * time.Second, true},
+		{"a gate with calls was cut off", func(v *View) { v.Gates[0].AtWork, v.Gates[0].Silent = 1, LeaseTime+drainTimeout }, 5 * time.Second, true},
 		{"a gate without calls was just cut off", func(v *View) { v.Gates[0].Silent = LeaseTime + time.Millisecond }, 5 * time.Second, true},
-		{"a gate is cut off for long", func(v *View) { v.Gates[0] = GateState{Version: "v1", Silent: time.Minute} }, drainTime, true},
+		{"a gate is cut off for long", func(v *View) { v.Gates[0] = GateState{Version: "v1", Silent: time.Minute} }, drainTimeout, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			view := ready()
+			view := confirmedView()
 			c.edit(&view)
 			judge := NewJudge(Policy{0.1, 50}, held)
-			_, changed := judge.Next(noon, held, View{})
-			is.True(!changed) // a new leader has not heard of all nodes
-			next, _ := judge.Next(noon.Add(c.after), held, view)
+			_, changed := judge.Next(orderTime, held, View{})
+			is.True(!changed) // a new leader has not received reports of all nodes
+			next, _ := judge.Next(orderTime.Add(c.after), held, view)
 			is.Equal(next.Phase == Completed, c.done)
 		})
 	}
 }
 
-func TestRolledBackIsSaidOnceGatesKnowOrLeasesAreOver(t *testing.T) {
+func TestRolledBackNeedsConfirmationOrExpiredLeases(t *testing.T) {
 	is := is.New(t)
-	held := Rollout{Service: "s", Version: "v2", Number: 1, Phase: Reverting, AtMillis: noon.UnixMilli(), ShareAtMillis: noon.UnixMilli()}
+	held := Rollout{Service: "s", Version: "v2", Number: 1, Phase: Reverting, AtMillis: orderTime.UnixMilli(), ShareAtMillis: orderTime.UnixMilli()}
 	view := View{Gates: []GateState{{Version: "v1"}, {Version: "v2", Silent: time.Minute}}}
 	judge := NewJudge(Policy{0.1, 50}, held)
-	_, changed := judge.Next(noon.Add(LeaseTime), held, view)
+	_, changed := judge.Next(orderTime.Add(LeaseTime), held, view)
 	is.True(!changed)
-	next, _ := judge.Next(noon.Add(LeaseTime+leaseSpare), held, view)
+	next, _ := judge.Next(orderTime.Add(LeaseTime+confirmationDelay), held, view)
 	is.Equal(next.Phase, RolledBack)
 	view.Gates[1].Confirmed = true
-	next, _ = judge.Next(noon.Add(time.Millisecond), held, view)
+	next, _ = judge.Next(orderTime.Add(time.Millisecond), held, view)
 	is.Equal(next.Phase, RolledBack)
 }
 
 func TestGrantsStayWithinTheBudget(t *testing.T) {
 	is := is.New(t)
-	held := Start(Order{Service: "s", Version: "v2", Duration: 12 * time.Second}, nil, noon)
+	held := Start(Order{Service: "s", Version: "v2", Duration: 12 * time.Second}, nil, orderTime)
 	judge := NewJudge(Policy{0.1, 50}, held)
-	now := noon.Add(time.Second)
+	now := orderTime.Add(time.Second)
 	judge.Take(now, Report{Service: "s", Number: 1, Version: "v1", Life: 1, Admitted: 1000})
 	judge.Take(now, Report{Service: "s", Number: 1, Version: "v2", Life: 2})
-	judge.Take(now, Report{Service: "s", Number: 2, Version: "v2", Life: 3}) // another order's
+	judge.Take(now, Report{Service: "s", Number: 2, Version: "v2", Life: 3}) // of another order
 	view := View{Gates: []GateState{{Version: "v1", Life: 1}, {Version: "v2", Life: 2}}}
 	next, changed := judge.Next(now, held, view)
 	is.True(changed)
 	is.Equal(len(next.Grants), 1)
 	is.True(next.Exposed() > 0 && next.Exposed() <= 150)
 
-	// A new leader has not heard of the gate yet: the grant stays the gate's.
-	young := NewJudge(Policy{0.1, 50}, next)
-	_, changed = young.Next(now, next, View{})
+	// A new leader has not received the gate's report yet and must keep its grant.
+	successor := NewJudge(Policy{0.1, 50}, next)
+	_, changed = successor.Next(now, next, View{})
 	is.True(!changed)
-	_, changed = young.Next(now.Add(settleTime), next, View{Gates: []GateState{{Version: "v2"}}})
+	_, changed = successor.Next(now.Add(settleTime), next, View{Gates: []GateState{{Version: "v2"}}})
 	is.True(!changed)
 
-	// The gate is gone: what it was granted stays spent, also for a new leader.
-	later := NewJudge(Policy{0.1, 50}, next)
-	later.Next(now, next, View{})
-	after, changed := later.Next(now.Add(settleTime), next, View{})
+	// The gate is gone: its grant stays spent, also for a new leader.
+	afterLoss := NewJudge(Policy{0.1, 50}, next)
+	afterLoss.Next(now, next, View{})
+	after, changed := afterLoss.Next(now.Add(settleTime), next, View{})
 	is.True(changed)
 	is.Equal(len(after.Grants), 0)
 	is.Equal(after.Spent, next.Exposed())
 	is.Equal(after.Reached, uint64(1000))
 }
 
-// Signs that are too weak for a look and waver round the suspicion condemn a version after two seconds, and one look below
-// does not begin them anew; signs that were strong for a moment only do not.
-func TestWaveringSignsCondemn(t *testing.T) {
+// Guards against a score that wavers around suspiciousScore without a rollback, and against a rollback
+// after a short peak.
+func TestSustainedSuspicionRollsBack(t *testing.T) {
 	for _, c := range []struct {
-		scores    []float64
-		condemned bool
+		scores     []float64
+		rolledBack bool
 	}{
 		{[]float64{0.67, 0.45, 0.63, 0.50, 0.52, 0.53, 0.55, 0.52}, true},
 		{[]float64{0.51, 0.49, 0.51, 0.49, 0.51, 0.49, 0.51, 0.48}, false},
@@ -137,46 +137,47 @@
 	} {
 		is := is.New(t)
 		j := NewJudge(Policy{0.1, 50}, Rollout{})
-		now, condemned := time.UnixMilli(1_700_000_000_000), false
+		now, rolledBack := time.UnixMilli(1_700_000_000_000), false
 		for _, score := range c.scores {
-			condemned = j.lasting(verdict{score: score})
-			j.look(now)
-			now = now.Add(lookTime)
+			rolledBack = j.persistentlySuspicious(verdict{score: score})
+			j.tick(now)
+			now = now.Add(tickInterval)
 		}
-		is.Equal(condemned, c.condemned)
+		is.Equal(rolledBack, c.rolledBack)
 	}
 }
 
-// A bad version is rolled back also if it has one back end, or two: then all that there are bear witness.
-func TestBadVersionsOfFewBackendsAreRolledBack(t *testing.T) {
+// Guards against requiring evidence from more back ends than the version has.
+func TestBadVersionsWithFewBackendsAreRolledBack(t *testing.T) {
 	for backends := 1; backends <= 4; backends++ {
-		for _, b := range []badness{{fails: 0.7, route: 0}, {fails: 0.4, route: -1}} {
+		for _, d := range []defect{{fails: 0.7, route: 0}, {fails: 0.4, route: -1}} {
 			for seed := range int64(10) {
-				w := world{duration: 20 * time.Second, rate: 400, old: 8, new: backends, zones: []float64{1}, reportsLost: 0.05, coldFactor: 2, bad: &b}
-				r := newFake(seed, w).play()
-				if r.phase != RolledBack || r.lateAfterBad > 0 || float64(r.exposed) > r.allowed {
+				w := scenario{duration: 20 * time.Second, rate: 400, old: 8, new: backends, zones: []float64{1}, reportLoss: 0.05, coldFactor: 2, bad: &d}
+				r := newSimulation(seed, w).run()
+				if r.phase != RolledBack || r.lateCalls > 0 || float64(r.exposed) > r.allowed {
 					t.Errorf("%d back ends, %+v, seed %d: %v after %v (%s), exposed %d of %.0f, %d calls too late",
-						backends, b, seed, r.phase, r.endedAt, r.reason, r.exposed, r.allowed, r.lateAfterBad)
+						backends, d, seed, r.phase, r.endedAt, r.reason, r.exposed, r.allowed, r.lateCalls)
 				}
 			}
 		}
 	}
 }
 
-// evidenceOf is what a window of the new version's back ends brings against it, where an old version fails none of its calls.
-func evidenceOf(backends int, failed map[int]float64, calls ...float64) float64 {
+// evidenceScore returns the score of a window of the new version's back ends against an old version
+// without failures.
+func evidenceScore(backends int, failed map[int]float64, calls ...float64) float64 {
 	var fresh []sample
 	for i, n := range calls {
-		fresh = append(fresh, sample{life: uint64(i), target: true, calls: n, failed: failed[i]})
+		fresh = append(fresh, sample{gateRun: uint64(i), target: true, calls: n, failed: failed[i]})
 	}
-	v := verdict{witnesses: witnesses(backends)}
-	v.test(tests[0], "service", fresh, []sides{{old: []sample{{calls: 500}}}})
+	v := verdict{requiredBackends: requiredBackends(backends)}
+	v.test(tests[0], "service", fresh, []windowSamples{{old: []sample{{calls: 500}}}})
 	return v.score
 }
 
-// One back end that fails by itself is no sign against its version while the others' calls show none. While they get no calls
-// it is all that is known, and holds the share.
-func TestEvidenceOfOneBackend(t *testing.T) {
+// Guards against one failing back end that makes its version suspicious while the others get calls without
+// failures, and against ignoring it while they get none.
+func TestSingleBackendEvidenceIsBounded(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		backends   int
@@ -193,7 +194,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			score := evidenceOf(c.backends, c.failed, c.calls...)
+			score := evidenceScore(c.backends, c.failed, c.calls...)
 			t.Logf("%.2f", score)
 			is.Equal(verdict{score: score}.suspicious(), c.suspicious)
 		})
--- a/pkg/rollout/node.go
+++ b/pkg/rollout/node.go
@@ -1,20 +1,20 @@
 package rollout
 
-// Side is which back ends a call may go to.
+// Side selects the back ends that may take a call, by version.
 type Side uint8
 
 const (
-	// AnyVersion is said of services without a rollout: all back ends are ordinary ones.
+	// AnyVersion allows all back ends, for services without a rollout.
 	AnyVersion Side = iota
-	// OldVersions are back ends of any but the target version.
+	// OldVersions allows back ends of all versions but the target version.
 	OldVersions
-	// NewVersion are back ends of the target version.
+	// NewVersion allows back ends of the target version.
 	NewVersion
 )
 
-// Choose returns which back ends a call goes to. Draw is a random number below Thousandths. A call that
-// repeats an earlier one goes to the old version while it can: a bad version is given no call twice. A
-// careful node gives nothing to the new version while the old one takes calls.
+// Choose returns the side for a call; draw is a random number in [0, Thousandths). A retry goes to the old
+// versions while they take calls, so that a bad version does not fail the same call twice. A careful node
+// sends nothing to the new version while the old ones take calls.
 func Choose(r Rollout, draw int, repeat, careful bool) Side {
 	switch r.Phase {
 	case Running:
@@ -30,7 +30,7 @@
 	return AnyVersion
 }
 
-// Allows reports whether a back end of a version is on a side.
+// Allows reports whether a back end of the given version belongs to the side.
 func (s Side) Allows(r Rollout, version string) bool {
 	switch s {
 	case OldVersions:
@@ -41,19 +41,19 @@
 	return true
 }
 
-// carefulFailures is how many failures more than good answers, by its own last calls, make a node stop
-// giving calls to the new version until control says more.
+// carefulFailures is the excess of failures over successes in a node's own calls at which it stops sending
+// calls to the new version.
 const carefulFailures = 4
 
-// Caution is what one node has seen of the new version itself. It acts on first signs, before control
-// does: the node gives the version nothing until a later step is held.
+// Caution tracks one node's own failures at the new version. The node stops sending calls to it before the
+// control plane decides, until the share changes.
 type Caution struct {
 	number  uint64
 	share   int
 	balance int
 }
 
-// Note counts how a call to the new version ended.
+// Note counts the outcome of a call to the new version.
 func (c *Caution) Note(r Rollout, failed bool) {
 	if c.number != r.Number || c.share != r.Share {
 		*c = Caution{number: r.Number, share: r.Share}
@@ -67,7 +67,7 @@
 	}
 }
 
-// Careful reports whether the node gives the new version nothing for now.
+// Careful reports whether the node sends the new version no calls at the current share.
 func (c *Caution) Careful(r Rollout) bool {
 	return c.number == r.Number && c.share == r.Share && c.balance >= carefulFailures
 }
--- a/pkg/rollout/order.go
+++ b/pkg/rollout/order.go
@@ -6,35 +6,36 @@
 	"time"
 )
 
-// Why an order is refused. Nothing changes by a refused order.
+// Errors of rejected orders. A rejected order changes nothing.
 var (
-	// ErrInvalid is an order without a service, a version or a duration.
+	// ErrInvalid rejects an order that lacks a service or a version, or whose duration is not positive or
+	// is too long.
 	ErrInvalid = errors.New("a rollout names a service, a version and a positive duration")
-	// ErrUnknownService is an order for a service that is neither configured nor registered.
+	// ErrUnknownService rejects an order for a service that is neither configured nor registered.
 	ErrUnknownService = errors.New("no such service")
-	// ErrNothingToDo is an order for a version that runs already as the only one.
+	// ErrNothingToDo rejects an order for a version that is already the only one running.
 	ErrNothingToDo = errors.New("the version runs already as the only one")
-	// ErrUnderWay is an order that is under way already: same service, version and duration.
+	// ErrUnderWay rejects an order identical to the running one: same service, version and duration.
 	ErrUnderWay = errors.New("this rollout is under way")
-	// ErrConflict is an order for a service that has another rollout under way.
+	// ErrConflict rejects an order for a service with another running rollout.
 	ErrConflict = errors.New("another rollout of the service is under way")
-	// ErrNotRunning is a stop of a rollout that does not run.
+	// ErrNotRunning rejects a stop if no rollout of the service can be stopped.
 	ErrNotRunning = errors.New("no rollout of the service is under way")
 )
 
-// maxDuration bounds an order's duration: one that is longer is a mistake of units.
+// maxDuration bounds an order's duration to catch mistakes of units.
 const maxDuration = 7 * 24 * time.Hour
 
-// Order is what an operator asks for.
+// Order is an operator's request to roll out a version of a service within a duration.
 type Order struct {
 	Service  string
 	Version  string
 	Duration time.Duration
 }
 
-// Check returns why an order is refused, nil if it may start. Held is the service's newest rollout, nil
-// if it had none; known is set if the service is configured or has back ends; present are the versions of
-// its back ends, those that leave left out. Back ends of the version may come before the order or after it.
+// Check returns the error that rejects an order, nil if it may start. Held is the service's newest rollout
+// or nil; known is set if the service is configured or has back ends; present lists the versions of its
+// back ends that are not leaving. The new version's back ends may start before or after the order.
 func Check(order Order, held *Rollout, known bool, present []string) error {
 	if order.Service == "" || order.Version == "" || order.Duration <= 0 || order.Duration > maxDuration {
 		return ErrInvalid
@@ -55,7 +56,7 @@
 	return nil
 }
 
-// Start returns the state of an order that Check let pass.
+// Start returns the initial state of an order accepted by Check.
 func Start(order Order, held *Rollout, now time.Time) Rollout {
 	r := Rollout{
 		Service:       order.Service,
@@ -74,7 +75,7 @@
 	return r
 }
 
-// Stop returns the state after an operator's order to stop: the rollout is rolled back.
+// Stop returns the step that rolls back a running rollout on an operator's request.
 func Stop(held *Rollout, now time.Time) (Rollout, error) {
 	if held == nil || (held.Phase != Running && held.Phase != Closing) {
 		return Rollout{}, ErrNotRunning
@@ -82,7 +83,7 @@
 	return revert(*held, now, "stopped by the operator"), nil
 }
 
-// revert returns the step that takes all calls from the new version.
+// revert returns the step that moves all calls back to the old versions.
 func revert(held Rollout, now time.Time, reason string) Rollout {
 	next := held
 	next.Step++
--- a/pkg/rollout/order_test.go
+++ b/pkg/rollout/order_test.go
@@ -7,20 +7,20 @@
 	"github.com/matryer/is"
 )
 
-var noon = time.UnixMilli(1_700_000_000_000)
+var orderTime = time.UnixMilli(1_700_000_000_000)
 
-func TestOrdersAreChecked(t *testing.T) {
+func TestCheckRejectsInvalidOrders(t *testing.T) {
 	is := is.New(t)
 	order := Order{Service: "s", Version: "v2", Duration: 12 * time.Second}
-	running := Start(order, nil, noon)
+	running := Start(order, nil, orderTime)
 	ended := running
 	ended.Phase = RolledBack
 	both := []string{"v1", "v2"}
 
-	is.NoErr(Check(order, nil, true, []string{"v1"})) // its back ends come later
+	is.NoErr(Check(order, nil, true, []string{"v1"})) // its back ends start later
 	is.NoErr(Check(order, nil, true, both))           // they run already
 	is.NoErr(Check(order, nil, true, nil))            // none run at all
-	is.NoErr(Check(order, &ended, true, both))        // a second try
+	is.NoErr(Check(order, &ended, true, both))        // a second rollout
 	is.Equal(Check(order, nil, false, nil), ErrUnknownService)
 	is.Equal(Check(order, nil, true, []string{"v2", "v2"}), ErrNothingToDo)
 	is.Equal(Check(order, &running, true, both), ErrUnderWay)
@@ -38,32 +38,32 @@
 	}
 }
 
-func TestOrdersAreNumbered(t *testing.T) {
+func TestStartIncrementsNumber(t *testing.T) {
 	is := is.New(t)
 	order := Order{Service: "s", Version: "v2", Duration: 12 * time.Second}
-	first := Start(order, nil, noon)
+	first := Start(order, nil, orderTime)
 	is.Equal(first.Number, uint64(1))
 	is.Equal(first.Phase, Running)
-	is.Equal(Start(order, &first, noon).Number, uint64(2))
+	is.Equal(Start(order, &first, orderTime).Number, uint64(2))
 }
 
-func TestOperatorsStopARollout(t *testing.T) {
+func TestStopRevertsARunningRollout(t *testing.T) {
 	is := is.New(t)
-	running := Start(Order{Service: "s", Version: "v2", Duration: 12 * time.Second}, nil, noon)
-	stopped, err := Stop(&running, noon.Add(time.Second))
+	running := Start(Order{Service: "s", Version: "v2", Duration: 12 * time.Second}, nil, orderTime)
+	stopped, err := Stop(&running, orderTime.Add(time.Second))
 	is.NoErr(err)
 	is.Equal(stopped.Phase, Reverting)
 	is.Equal(stopped.Share, 0)
 	is.Equal(stopped.Step, running.Step+1)
-	_, err = Stop(&stopped, noon)
+	_, err = Stop(&stopped, orderTime)
 	is.Equal(err, ErrNotRunning)
-	_, err = Stop(nil, noon)
+	_, err = Stop(nil, orderTime)
 	is.Equal(err, ErrNotRunning)
 }
 
-func TestOnlyTheNextStepIsApplied(t *testing.T) {
+func TestApplyAcceptsOnlyTheNextStep(t *testing.T) {
 	is := is.New(t)
-	first := Start(Order{Service: "s", Version: "v2", Duration: 12 * time.Second}, nil, noon)
+	first := Start(Order{Service: "s", Version: "v2", Duration: 12 * time.Second}, nil, orderTime)
 	first.Grants = []Grant{{Life: 7, Upto: 5}}
 	list, changed := Apply(nil, Change{first})
 	is.True(changed)
@@ -75,11 +75,11 @@
 		return changed
 	}
 	is.True(apply(func(*Rollout) {}))
-	is.True(!apply(func(r *Rollout) { r.Step-- }))                         // again
-	is.True(!apply(func(r *Rollout) { r.Step++ }))                         // one is missing
-	is.True(!apply(func(r *Rollout) { r.Grants = nil }))                   // forgets what was granted
+	is.True(!apply(func(r *Rollout) { r.Step-- }))                         // repeated step
+	is.True(!apply(func(r *Rollout) { r.Step++ }))                         // a step is missing
+	is.True(!apply(func(r *Rollout) { r.Grants = nil }))                   // loses grants
 	is.True(apply(func(r *Rollout) { r.Grants, r.Spent = nil, 5 }))        // the gate is gone
-	is.True(!apply(func(r *Rollout) { r.Number, r.Step = r.Number+1, 0 })) // while one is under way
+	is.True(!apply(func(r *Rollout) { r.Number, r.Step = r.Number+1, 0 })) // another rollout is running
 
 	list[0].Phase = Reverting
 	is.True(!apply(func(r *Rollout) { r.Phase = Running }))
@@ -87,10 +87,10 @@
 	list[0].Phase = RolledBack
 	is.True(!apply(func(r *Rollout) { r.Phase = Running }))
 	is.True(apply(func(r *Rollout) {
-		*r = Start(Order{Service: "s", Version: "v3", Duration: time.Second}, &list[0], noon)
+		*r = Start(Order{Service: "s", Version: "v3", Duration: time.Second}, &list[0], orderTime)
 	}))
 
-	other := Start(Order{Service: "a", Version: "v2", Duration: time.Second}, nil, noon)
+	other := Start(Order{Service: "a", Version: "v2", Duration: time.Second}, nil, orderTime)
 	list, _ = Apply(list, Change{other})
 	is.Equal(list[0].Service, "a") // sorted
 }
--- a/pkg/rollout/report.go
+++ b/pkg/rollout/report.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// timeBuckets is how many buckets of service times a report tells apart.
+// timeBuckets is the number of buckets of the histogram of service times.
 const timeBuckets = 24
 
-// firstBucket is the upper bound of the first bucket. Each is wider than the one before by the square
-// root of two, so that the last but one ends at 8 s, and a time twice as long is two buckets on.
+// firstBucket is the upper bound of the first bucket. Each bound is the square root of two times the one
+// before; the last but one is 8 s.
 const firstBucket = 4 * time.Millisecond
 
-// bucketsPerDouble is how many buckets on a time twice as long is.
+// bucketsPerDouble is the number of buckets that span a doubling of the time.
 const bucketsPerDouble = 2
 
-// Times counts calls by how long they took at the back end.
+// Times is a histogram of calls by their time at the back end.
 type Times [timeBuckets]uint32
 
-// Note counts one call.
+// Note counts one call that took the given time.
 func (t *Times) Note(took time.Duration) {
 	t[bucketOf(took)]++
 }
@@ -31,60 +31,58 @@
 	return min(i, timeBuckets-1)
 }
 
-// RouteCount is what one route's calls came to at one back end.
+// RouteCount counts the calls of one route at one back end by outcome.
 type RouteCount struct {
 	Route string
-	// Answered counts the calls that the back end answered well, Failed those that it failed: an error of
-	// its own, a broken exchange, or silence for the call's whole time. Calls that the caller gave up are
+	// Answered counts successful responses of the back end. Failed counts errors of its own, broken
+	// exchanges and calls without a response within their timeout. Calls abandoned by the caller count as
 	// neither.
 	Answered uint64
 	Failed   uint64
-	// Times are those of the answered calls that came while the back end was warm.
+	// Times counts the answered calls that began and ended while the back end was warm.
 	Times Times
 }
 
-// Report is what one gate has seen of one back end while a rollout of its service runs. All counters
-// count from when the gate heard of the order and only grow, so that a report replaces the one before it
-// and may be lost.
+// Report is what one gate has observed of its back end during a rollout. All counters start when the gate
+// receives the order and only grow, so a report replaces its predecessor and may be lost.
 type Report struct {
 	Service string
-	// Number is that of the order.
+	// Number identifies the order.
 	Number uint64
-	// Version is the back end's, Instance its ID, Zone where it runs.
+	// Version and Instance are the back end's version and ID, Zone is its zone.
 	Version  string
 	Instance string
 	Zone     string
-	// Life is that of the gate's process with this back end.
+	// Life identifies the run of the gate's process with this back end.
 	Life uint64
 	// Cold is set while the back end is cold.
 	Cold bool
-	// Admitted counts the calls that the gate let in, repeats among them; Repeats counts those of them
-	// that repeat an earlier call, as far as the gate can tell.
+	// Admitted counts the admitted calls, Repeats those of them that the gate recognised as retries.
 	Admitted uint64
 	Repeats  uint64
 	Routes   []RouteCount
 }
 
-// Outcome is how a call ended at a back end.
+// Outcome says how a call ended at a back end.
 type Outcome uint8
 
 const (
-	// Answered calls got an answer that is not a failure of the back end.
+	// Answered calls got a response that is no failure of the back end.
 	Answered Outcome = iota
-	// Failed calls got an error of the back end's own, a broken exchange or silence.
+	// Failed calls got an error of the back end itself, a broken exchange or no response in time.
 	Failed
-	// GivenUp calls were ended by their caller before their time: they say nothing of the back end.
+	// GivenUp calls were cancelled by their caller and say nothing about the back end.
 	GivenUp
 )
 
-// Tally counts what a gate's back end does with calls, for its reports. It is not safe for concurrent use.
+// Tally counts a gate's calls by route and outcome for its reports. It is not safe for concurrent use.
 type Tally struct {
 	admitted uint64
 	repeats  uint64
 	routes   map[string]*RouteCount
 }
 
-// Admit counts a call that is let in.
+// Admit counts an admitted call; repeat marks a retry.
 func (t *Tally) Admit(repeat bool) {
 	t.admitted++
 	if repeat {
@@ -92,13 +90,13 @@
 	}
 }
 
-// Admitted is how many calls were let in.
+// Admitted returns the number of admitted calls.
 func (t *Tally) Admitted() uint64 {
 	return t.admitted
 }
 
-// End counts how a call that was let in ended. Cold is set if the back end was cold when the call came or
-// when it ended: such times say nothing of the version.
+// End counts the outcome of an admitted call. Cold is set if the back end was cold when the call arrived
+// or ended; its time is not counted then.
 func (t *Tally) End(route string, outcome Outcome, took time.Duration, cold bool) {
 	if outcome == GivenUp {
 		return
@@ -121,7 +119,7 @@
 	}
 }
 
-// Fill puts the counts into a report, which keeps nothing of the tally.
+// Fill copies the counts into a report.
 func (t *Tally) Fill(report *Report) {
 	report.Admitted, report.Repeats = t.admitted, t.repeats
 	report.Routes = make([]RouteCount, 0, len(t.routes))
--- a/pkg/rollout/rollout.go
+++ b/pkg/rollout/rollout.go
@@ -1,9 +1,9 @@
-// Package rollout decides how a service's calls move to back ends of a new version: few at first, more
-// as the evidence allows, and none once the version turns out bad.
+// Package rollout decides how fast a service's calls move to back ends of a new version, and rolls the
+// version back if it fails more often or responds more slowly than the old one.
 //
-// It does no I/O and reads no clock. Control's leader judges (Judge) and commits each step to the log
-// before it acts; gates of the new version's back ends let in no more calls than the committed state
-// grants them, so that what a bad version got is bounded whatever fails.
+// It does no I/O and reads no clock. The leader's Judge decides each step, which takes effect once it is
+// committed to the log. Gates of the new version admit no more calls than the committed state grants, so
+// that the exposure to a bad version is bounded under all failures.
 package rollout
 
 import (
@@ -12,24 +12,24 @@
 	"time"
 )
 
-// Phase is how far a rollout has come.
+// Phase is the state of a rollout.
 type Phase uint8
 
 const (
-	// Running rollouts move calls to the new version by steps.
+	// Running rollouts move calls to the new version in stages.
 	Running Phase = iota + 1
-	// Closing rollouts have shown the new version good: it takes all calls, and gates of all other
-	// versions let in nothing more. Their back ends still run, so that the way back stays open.
+	// Closing rollouts send all calls to the new version, and gates of other versions admit none. The old
+	// back ends still run, so that a rollback remains possible.
 	Closing
-	// Completed rollouts have ended well: the old back ends may stop.
+	// Completed rollouts have succeeded: the old back ends may stop.
 	Completed
-	// Reverting rollouts have ended badly, but not every gate of the new version is known to have heard.
+	// Reverting rollouts have failed, but some gates of the new version may not have received that yet.
 	Reverting
-	// RolledBack rollouts have ended: the new version gets nothing.
+	// RolledBack rollouts have failed: the new version gets no calls.
 	RolledBack
 )
 
-// String returns the lower-case name of the phase.
+// String returns the phase in lower case, as operators see it.
 func (p Phase) String() string {
 	switch p {
 	case Running:
@@ -47,56 +47,57 @@
 	}
 }
 
-// Ended reports whether nothing will change any more.
+// Ended reports whether the phase is final.
 func (p Phase) Ended() bool {
 	return p == Completed || p == RolledBack
 }
 
-// Thousandths are the parts that a Share counts.
+// Thousandths is the Share of a version that gets all calls.
 const Thousandths = 1000
 
-// Grant is what the gate of one back end of the new version may let in.
+// Grant bounds the calls that the gate of one back end of the new version may admit.
 type Grant struct {
-	// Life identifies one run of the gate's process with one back end beside it: a gate that was
-	// started again does not know what it has let in, and gets a new grant.
+	// Life identifies one run of the gate's process with one back end. A restarted gate does not know how
+	// many calls it admitted, and gets a new grant.
 	Life uint64 `json:"life"`
-	// Upto is how many calls the gate may have let in since the order. It never shrinks.
+	// Upto is the total number of calls that the gate may admit since the order. It never decreases.
 	Upto uint64 `json:"upto"`
 }
 
-// Rollout is one order and how far it has come.
+// Rollout is the replicated state of one order.
 type Rollout struct {
 	Service string `json:"service"`
 	Version string `json:"version"`
-	// Number tells this order from earlier ones of the service.
+	// Number counts the orders of the service.
 	Number uint64 `json:"number"`
-	// Step counts the changes since the order: a change that does not follow the held step is void.
+	// Step counts the changes since the order. A change is ignored unless it is the successor of the held
+	// step.
 	Step     uint64        `json:"step"`
 	Duration time.Duration `json:"duration"`
-	// AtMillis is the leader's wall clock at the order, ShareAtMillis when phase or share changed
-	// last, both in Unix milliseconds.
+	// AtMillis is the leader's wall clock at the order, ShareAtMillis at the last change of phase or
+	// share, both in Unix milliseconds.
 	AtMillis      int64 `json:"at_millis"`
 	ShareAtMillis int64 `json:"share_at_millis"`
 	Phase         Phase `json:"phase"`
-	// Share is how many thousandths of the service's calls nodes should give to the new version.
+	// Share is the exposure: the thousandths of the service's calls that nodes send to the new version.
 	Share int `json:"share"`
-	// Grants are sorted by life.
+	// Grants are sorted by Life.
 	Grants []Grant `json:"grants,omitempty"`
-	// Spent is what gates that have no grant any more were allowed to let in.
+	// Spent is the sum of the grants of gates that no longer exist.
 	Spent uint64 `json:"spent"`
-	// Reached is how many calls were known to have reached the service since the order, at this step: gates
-	// that start anew forget theirs.
+	// Reached is how many calls were known to have reached the service since the order at this step. It
+	// preserves counts that restarted gates lose.
 	Reached uint64 `json:"reached"`
-	// Reason says why the rollout is where it is, for people.
+	// Reason says for operators why the rollout is in its state.
 	Reason string `json:"reason,omitempty"`
 }
 
-// Change is a step of a rollout: it replaces what is held of the service.
+// Change is a step of a rollout that replaces the held state of its service.
 type Change struct {
 	Rollout Rollout `json:"rollout"`
 }
 
-// Exposed is how many calls the new version's gates were allowed to let in at most.
+// Exposed returns the largest number of calls that the new version's gates may have admitted.
 func (r Rollout) Exposed() uint64 {
 	sum := r.Spent
 	for _, g := range r.Grants {
@@ -105,20 +106,20 @@
 	return sum
 }
 
-// Deadline is when the rollout should have ended.
+// Deadline returns the time by which the rollout must end.
 func (r Rollout) Deadline() time.Time {
 	return time.UnixMilli(r.AtMillis).Add(r.Duration)
 }
 
-// Apply returns a list of rollouts, sorted by service, after a change, and whether it differs. A change
-// by a leader that did not know the newest state is void.
+// Apply returns the list of rollouts, sorted by service, after a change, and whether it differs. A change
+// based on an outdated state is ignored.
 func Apply(list []Rollout, change Change) ([]Rollout, bool) {
 	next := change.Rollout
 	i, found := slices.BinarySearchFunc(list, next.Service, func(r Rollout, service string) int { return cmp.Compare(r.Service, service) })
 	if !found {
 		return slices.Insert(slices.Clone(list), i, next), true
 	}
-	if !follows(list[i], next) {
+	if !mayReplace(list[i], next) {
 		return list, false
 	}
 	list = slices.Clone(list)
@@ -126,8 +127,8 @@
 	return list, true
 }
 
-// follows reports whether next may replace held.
-func follows(held, next Rollout) bool {
+// mayReplace reports whether next is a valid successor of held.
+func mayReplace(held, next Rollout) bool {
 	if next.Number != held.Number {
 		return next.Number == held.Number+1 && next.Step == 0 && held.Phase.Ended()
 	}
--- a/pkg/rollout/schedule.go
+++ b/pkg/rollout/schedule.go
@@ -2,33 +2,32 @@
 
 import "time"
 
-// canaryShare is what a new version gets for most of the duration: enough calls for a verdict, a third
-// of the usual exposure.
+// canaryShare is the new version's share, in thousandths, for most of the duration: enough calls for a
+// verdict and well below the usual exposure.
 const canaryShare = 40
 
-// stages are the shares on the way from the canary to all calls. They come as late and as fast as the
-// duration allows: a version that turns bad at one of them has had little before.
+// stages are the shares from the canary to all calls. The steps after the canary come as late as the
+// duration allows, so that a version which fails at a higher share has had few calls.
 var stages = []int{canaryShare, 250, 500, Thousandths}
 
 const (
-	// minStage is the least time at a stage: nodes must hear of it, and answers come back.
+	// minStage is the shortest stage: nodes must receive it and calls must end in it.
 	minStage = 500 * time.Millisecond
-	// usualStage and maxStage bound the time at a stage when there is time enough; a twentieth of the
-	// duration keeps the sum of all stages within a tenth of the calls.
-	usualStage   = 600 * time.Millisecond
-	maxStage     = 3 * time.Second
-	stagesInTime = 20
-	// closeTime is how long the old gates take to close and to end their calls, with some that control
-	// does not hear.
+	// minPlannedStage and maxStage bound the planned length of a stage, which is the duration divided by
+	// stageDivisor.
+	minPlannedStage = 600 * time.Millisecond
+	maxStage        = 3 * time.Second
+	stageDivisor    = 20
+	// closeTime is the time reserved for old gates to close and drain, some of them disconnected.
 	closeTime = 2 * time.Second
-	// minReserve and maxReserve bound the part of the duration that is kept for a change of leader, a
-	// quarter of the duration between them.
-	minReserve    = time.Second
-	maxReserve    = 5 * time.Second
-	reserveInTime = 4
+	// minReserve and maxReserve bound the time reserved for a change of leader, which is the duration
+	// divided by reserveDivisor.
+	minReserve     = time.Second
+	maxReserve     = 5 * time.Second
+	reserveDivisor = 4
 )
 
-// plan is when a rollout's stages come, counted from the order.
+// plan holds the lengths of a rollout's stages and reserves.
 type plan struct {
 	duration time.Duration
 	stage    time.Duration
@@ -38,30 +37,30 @@
 func planFor(duration time.Duration) plan {
 	return plan{
 		duration: duration,
-		stage:    clamp(duration/stagesInTime, usualStage, maxStage),
-		reserve:  clamp(duration/reserveInTime, minReserve, maxReserve),
+		stage:    clamp(duration/stageDivisor, minPlannedStage, maxStage),
+		reserve:  clamp(duration/reserveDivisor, minReserve, maxReserve),
 	}
 }
 
-// rampAt is when the canary ends.
+// rampAt returns the planned end of the canary stage, counted from the order.
 func (p plan) rampAt() time.Duration {
 	return p.duration - p.reserve - closeTime - time.Duration(len(stages)-1)*p.stage
 }
 
-// lastChance is when the last stage must be over.
-func (p plan) lastChance() time.Duration {
+// closeBy returns when the last stage must end, counted from the order.
+func (p plan) closeBy() time.Duration {
 	return p.duration - closeTime
 }
 
-// stageTime is how long a stage takes that begins after some time, shorter than planned if it begins
-// late.
+// stageTime returns the length of a stage that begins at a time since the order; it is shorter than
+// planned if the rollout is late.
 func (p plan) stageTime(begun time.Duration, share int) time.Duration {
-	left := len(stages) - stageOf(share)
-	fair := (p.lastChance() - p.reserve/2 - begun) / time.Duration(left)
-	return clamp(fair, minStage, p.stage)
+	remaining := len(stages) - stageOf(share)
+	even := (p.closeBy() - p.reserve/2 - begun) / time.Duration(remaining)
+	return clamp(even, minStage, p.stage)
 }
 
-// stageOf is the index of the stage that has a share.
+// stageOf returns the index of the first stage with at least the given share.
 func stageOf(share int) int {
 	for i, s := range stages {
 		if share <= s {
--- a/pkg/rollout/series.go
+++ b/pkg/rollout/series.go
@@ -5,49 +5,50 @@
 	"time"
 )
 
-// looks is how many looks a series keeps: the widest window but that since the order.
-const looks = 32
+// maxWindowTicks is the length of a series' history: the widest window except allTime.
+const maxWindowTicks = 32
 
-// recentLooks are how many looks back the old version's failures are taken from for what the new one is
-// expected to have: the worst of them, since a trouble that just began is in the shortest only.
-var recentLooks = [...]int{1, 2, 4, 8}
+// recentTicks are the windows for the old version's recent failure rate. The worst counts, since a fault
+// that just began shows only in the shortest.
+var recentTicks = [...]int{1, 2, 4, 8}
 
-// counts are one route's calls at one back end, summed.
+// counts are the cumulative counters of one route at one back end.
 type counts struct {
 	answered, failed uint64
-	// expected is how many of a new back end's calls would have failed at the old version's rate in the
-	// same seconds.
+	// expected is how many of a new back end's calls would have failed at the old version's rate at the
+	// same time.
 	expected float64
 	times    Times
 }
 
-// series is how one route's calls at one back end came along, look by look.
+// series is the history of one route's counters at one back end.
 type series struct {
-	life *life
-	now  counts
-	// ended is how many calls had ended at the last look.
-	ended uint64
-	// past holds what now was at the last looks, in a ring whose next place is that of the oldest.
-	past []counts
-	next int
+	gateRun *processRun
+	current counts
+	// endedAtTick is how many calls had ended when expected failures were last added.
+	endedAtTick uint64
+	// history is a ring of the counters at the last ticks; oldest is the index of the next write.
+	history []counts
+	oldest  int
 }
 
-// look keeps what is known now for later windows.
-func (s *series) look() {
-	if len(s.past) < looks {
-		s.past = append(s.past, s.now)
+// tick appends the current counters to the history.
+func (s *series) tick() {
+	if len(s.history) < maxWindowTicks {
+		s.history = append(s.history, s.current)
 		return
 	}
-	s.past[s.next] = s.now
-	s.next = (s.next + 1) % looks
+	s.history[s.oldest] = s.current
+	s.oldest = (s.oldest + 1) % maxWindowTicks
 }
 
-// since returns what came in the last looks, or since the order.
+// since returns the counts of the last ticks, or all counts for allTime and for windows beyond the
+// history.
 func (s *series) since(back int) counts {
-	if back == allTime || back > len(s.past) {
-		return s.now
+	if back == allTime || back > len(s.history) {
+		return s.current
 	}
-	return s.now.minus(s.past[(s.next+len(s.past)-back)%len(s.past)])
+	return s.current.minus(s.history[(s.oldest+len(s.history)-back)%len(s.history)])
 }
 
 func (c counts) minus(before counts) counts {
@@ -60,22 +61,22 @@
 	return c
 }
 
-// route is what the judge measures one route's times by. Positions count buckets: bucket i reaches from i
-// to i+1, its answers spread evenly, so that little hangs on where the edges of the buckets lie.
+// route holds the baselines for one route's times. Positions are in buckets: bucket i spans i to i+1 with
+// its times spread evenly, so that bucket edges matter little.
 type route struct {
 	series []*series
 	// median is the old version's median time.
 	median float64
-	// slowBy is how much slower than usual for its back end a slow answer is, tail the time from which
-	// one is slow for the service: few of the old version's answers are.
-	slowBy, tail float64
+	// slowBy is the distance from its back end's usual time at which a response is slow, serviceTail the
+	// position from which one is slow for the service. Few responses of the old version are either.
+	slowBy, serviceTail float64
 }
 
-// prepare works out what times are measured by, from all answers since the order.
-func (j *Judge) prepare() map[string]*route {
+// computeBaselines computes the baselines of all routes from all responses since the order.
+func (j *Judge) computeBaselines() map[string]*route {
 	routes := make(map[string]*route)
-	for _, l := range j.lives {
-		for name, s := range l.routes {
+	for _, run := range j.runs {
+		for name, s := range run.routes {
 			r := routes[name]
 			if r == nil {
 				r = &route{}
@@ -86,10 +87,10 @@
 	}
 	for _, r := range routes {
 		old := r.oldTimes()
-		r.median, r.tail = old.quantile(0.5), old.quantile(1-slowUsual)
+		r.median, r.serviceTail = old.quantile(0.5), old.quantile(1-usualSlowFraction)
 	}
-	for _, l := range j.lives {
-		l.findUsual(routes)
+	for _, run := range j.runs {
+		run.findUsualTime(routes)
 	}
 	for _, r := range routes {
 		r.slowBy = r.findSlowBy()
@@ -100,93 +101,94 @@
 func (r *route) oldTimes() Times {
 	var sum Times
 	for _, s := range r.series {
-		if s.life.target {
+		if s.gateRun.target {
 			continue
 		}
-		for i, n := range s.now.times {
+		for i, n := range s.current.times {
 			sum[i] += n
 		}
 	}
 	return sum
 }
 
-// parts is how many parts of a bucket distances are told apart by.
-const parts = 4
+// bucketParts is the resolution of distances, in parts of a bucket.
+const bucketParts = 4
 
-// distances counts answers by how far from a position they lie.
-type distances [2 * parts * timeBuckets]float64
+// distances is a histogram of responses by their distance from a position.
+type distances [2 * bucketParts * timeBuckets]float64
 
 func (d *distances) add(times Times, from float64) {
 	for i, n := range times {
 		if n == 0 {
 			continue
 		}
-		first := int(math.Floor((float64(i)-from)*parts)) + len(d)/2
-		for part := range parts {
-			d[max(0, min(first+part, len(d)-1))] += float64(n) / parts
+		first := int(math.Floor((float64(i)-from)*bucketParts)) + len(d)/2
+		for part := range bucketParts {
+			d[max(0, min(first+part, len(d)-1))] += float64(n) / bucketParts
 		}
 	}
 }
 
-// quantile returns the distance that a part of the answers lies within.
-func (d *distances) quantile(part float64) float64 {
+// quantile returns the distance below which the given fraction of the responses falls.
+func (d *distances) quantile(fraction float64) float64 {
 	var sum, below float64
 	for _, n := range d {
 		sum += n
 	}
 	for i, n := range d {
-		if below += n; below >= part*sum {
-			return float64(i+1-len(d)/2) / parts
+		if below += n; below >= fraction*sum {
+			return float64(i+1-len(d)/2) / bucketParts
 		}
 	}
 	return timeBuckets
 }
 
-// findSlowBy returns the least distance from a back end's usual time that few of the old version's
-// answers have.
+// findSlowBy returns the smallest distance from a back end's usual time that few responses of the old
+// version exceed.
 func (r *route) findSlowBy() float64 {
 	var d distances
 	for _, s := range r.series {
-		if !s.life.target && s.life.known {
-			d.add(s.now.times, r.median+s.life.usual)
+		if !s.gateRun.target && s.gateRun.usualKnown {
+			d.add(s.current.times, r.median+s.gateRun.usualOffset)
 		}
 	}
-	return max(minSlowBuckets, d.quantile(1-slowUsual))
+	return max(minSlowBuckets, d.quantile(1-usualSlowFraction))
 }
 
-// quantile returns the position that a part of the answers lies before.
-func (t Times) quantile(part float64) float64 {
+// quantile returns the position below which the given fraction of the responses falls.
+func (t Times) quantile(fraction float64) float64 {
 	var sum, below float64
 	for _, n := range t {
 		sum += float64(n)
 	}
 	for i, n := range t {
-		if n := float64(n); n > 0 && below+n >= part*sum {
-			return float64(i) + (part*sum-below)/n
+		if n := float64(n); n > 0 && below+n >= fraction*sum {
+			return float64(i) + (fraction*sum-below)/n
 		}
 		below += float64(n)
 	}
 	return timeBuckets
 }
 
-// minUsual is how many times a back end's usual one is taken from.
-const minUsual = 6
+// minUsualTimes is the fewest times from which a back end's usual time is computed.
+const minUsualTimes = 6
 
-// usualPart is the part of a back end's answers that are quicker than its usual time: that stays the time of the
-// good answers while up to nineteen in twenty turn slow.
-const usualPart = 0.05
+// usualQuantile is the quantile of a back end's times that is its usual time. It is low, so that it stays
+// a normal time even if most responses are slow.
+const usualQuantile = 0.05
 
-// findUsual finds a back end's usual time over all routes, as a distance from the routes' medians.
-func (l *life) findUsual(routes map[string]*route) {
+// findUsualTime computes the back end's usual time over all routes, as a distance from the routes'
+// medians.
+func (run *processRun) findUsualTime(routes map[string]*route) {
 	var d distances
 	sum := uint64(0)
-	for name, s := range l.routes {
-		d.add(s.now.times, routes[name].median)
-		sum += s.now.times.total()
+	for name, s := range run.routes {
+		d.add(s.current.times, routes[name].median)
+		sum += s.current.times.total()
 	}
-	l.known = sum >= minUsual
-	if l.known {
-		l.usual = d.quantile(usualPart)
+	run.usualKnown = sum >= minUsualTimes
+	if run.usualKnown {
+		run.usualOffset = d.quantile(usualQuantile)
 	}
 }
 
@@ -198,20 +200,20 @@
 	return sum
 }
 
-// beyond is which part of a bucket's answers lie beyond a position.
-func beyond(bucket int, position float64) float64 {
+// fractionBeyond returns the fraction of a bucket that is beyond a position.
+func fractionBeyond(bucket int, position float64) float64 {
 	return max(0, min(1, float64(bucket+1)-position))
 }
 
-// observe returns what came in a window, measured.
-func (s *series) observe(w int, r *route) sample {
+// sampleOf returns the sample of a window, with times classified by the route's baselines.
+func (s *series) sampleOf(w int, r *route) sample {
 	d := s.since(w)
-	one := sample{
-		life:   s.life.report.Life,
-		zone:   s.life.report.Zone,
-		target: s.life.target,
-		calls:  float64(d.answered + d.failed),
-		failed: float64(d.failed),
+	result := sample{
+		gateRun: s.gateRun.report.Life,
+		zone:    s.gateRun.report.Zone,
+		target:  s.gateRun.target,
+		calls:   float64(d.answered + d.failed),
+		failed:  float64(d.failed),
 
 		expected: d.expected,
 	}
@@ -220,105 +222,107 @@
 			continue
 		}
 		n := float64(n)
-		one.times += n
-		one.doubles += n * (float64(i) + 0.5 - r.median) / bucketsPerDouble
-		one.tail += n * beyond(i, r.tail)
-		if !s.life.known {
+		result.times += n
+		result.log2Sum += n * (float64(i) + 0.5 - r.median) / bucketsPerDouble
+		result.serviceTail += n * fractionBeyond(i, r.serviceTail)
+		if !s.gateRun.usualKnown {
 			continue
 		}
-		one.own += n
-		one.slow += n * beyond(i, r.median+s.life.usual+r.slowBy)
+		result.compared += n
+		result.slowForBackend += n * fractionBeyond(i, r.median+s.gateRun.usualOffset+r.slowBy)
 	}
-	return one
+	return result
 }
 
-// life is what is known of one gate's process with one back end.
-type life struct {
+// processRun holds what one run of a gate's process with one back end has reported.
+type processRun struct {
 	report Report
 	target bool
-	// first is what the first report here said of calls that count.
-	first uint64
-	heard time.Time
-	// perSecond is how many calls the gate let in a second between its last two reports.
-	perSecond float64
+	// firstDistinct is distinctCalls of the first report that this judge received.
+	firstDistinct uint64
+	reportedAt    time.Time
+	// admitRate is the number of calls admitted per second between the last two reports.
+	admitRate float64
 	routes    map[string]*series
-	// pooled are the calls of all routes, by window.
-	pooled [len(windows)]sample
-	// usual is how far from the routes' medians its usual time is, in buckets, if known.
-	usual float64
-	known bool
+	// allRoutes holds the samples of all routes together, by window.
+	allRoutes [len(windows)]sample
+	// usualOffset is the distance of the back end's usual time from the routes' medians, in buckets; valid
+	// if usualKnown.
+	usualOffset float64
+	usualKnown  bool
 }
 
-func (l *life) take(now time.Time, report Report) {
-	if span := now.Sub(l.heard).Seconds(); !l.heard.IsZero() && span > 0 {
-		l.perSecond = float64(report.Admitted-l.report.Admitted) / span
+func (run *processRun) update(now time.Time, report Report) {
+	if span := now.Sub(run.reportedAt).Seconds(); !run.reportedAt.IsZero() && span > 0 {
+		run.admitRate = float64(report.Admitted-run.report.Admitted) / span
 	}
-	fresh := l.heard.IsZero()
-	l.report, l.heard = report, now
-	if fresh {
-		l.first = l.counted()
+	isFirst := run.reportedAt.IsZero()
+	run.report, run.reportedAt = report, now
+	if isFirst {
+		run.firstDistinct = run.distinctCalls()
 	}
 	for _, r := range report.Routes {
-		s := l.routes[r.Route]
+		s := run.routes[r.Route]
 		if s == nil {
-			s = &series{life: l}
-			l.routes[r.Route] = s
+			s = &series{gateRun: run}
+			run.routes[r.Route] = s
 		}
-		s.now.answered, s.now.failed, s.now.times = r.Answered, r.Failed, r.Times
+		s.current.answered, s.current.failed, s.current.times = r.Answered, r.Failed, r.Times
 	}
 }
 
-// counted is how many of a gate's calls count as having reached the service: repeats do not, and a call
-// that failed at the new version comes again, so it counts only where it is answered.
-func (l *life) counted() uint64 {
-	known := l.report.Admitted - min(l.report.Admitted, l.report.Repeats)
-	if l.target {
-		known -= min(known, l.failed())
+// distinctCalls returns how many of the gate's calls count as having reached the service. Retries don't
+// count, nor do failures at the new version, which are retried and count where they succeed.
+func (run *processRun) distinctCalls() uint64 {
+	distinct := run.report.Admitted - min(run.report.Admitted, run.report.Repeats)
+	if run.target {
+		distinct -= min(distinct, run.failed())
 	}
-	return known
+	return distinct
 }
 
-func (l *life) failed() uint64 {
+func (run *processRun) failed() uint64 {
 	var sum uint64
-	for _, r := range l.report.Routes {
+	for _, r := range run.report.Routes {
 		sum += r.Failed
 	}
 	return sum
 }
 
-func (l *life) answered() uint64 {
+func (run *processRun) answered() uint64 {
 	var sum uint64
-	for _, r := range l.report.Routes {
+	for _, r := range run.report.Routes {
 		sum += r.Answered
 	}
 	return sum
 }
 
-// recent returns the calls of the last looks.
-func (l *life) recent(back int) sample {
-	one := sample{zone: l.report.Zone}
-	for _, s := range l.routes {
+// recentSample returns the calls of the last ticks.
+func (run *processRun) recentSample(back int) sample {
+	result := sample{zone: run.report.Zone}
+	for _, s := range run.routes {
 		d := s.since(back)
-		one.calls += float64(d.answered + d.failed)
-		one.failed += float64(d.failed)
+		result.calls += float64(d.answered + d.failed)
+		result.failed += float64(d.failed)
 	}
-	return one
+	return result
 }
 
-// expected is how many of a new back end's calls would have failed at the old version's rate.
-func (l *life) expected() float64 {
+// expectedFailures returns how many of a new back end's calls would have failed at the old version's rate.
+func (run *processRun) expectedFailures() float64 {
 	sum := 0.0
-	for _, s := range l.routes {
-		sum += s.now.expected
+	for _, s := range run.routes {
+		sum += s.current.expected
 	}
 	return sum
 }
 
-// expect counts the failures to be expected of the calls that ended since the last look.
-func (l *life) expect(rate float64) {
-	for _, s := range l.routes {
-		ended := s.now.answered + s.now.failed
-		s.now.expected += rate * float64(ended-min(ended, s.ended))
-		s.ended = ended
+// addExpectedFailures adds the failures expected at the given rate for the calls that ended since the last
+// call.
+func (run *processRun) addExpectedFailures(rate float64) {
+	for _, s := range run.routes {
+		ended := s.current.answered + s.current.failed
+		s.current.expected += rate * float64(ended-min(ended, s.endedAtTick))
+		s.endedAtTick = ended
 	}
 }
