--- a/pkg/routing/large_test.go
+++ b/pkg/routing/large_test.go
@@ -9,11 +9,11 @@
 	"bramblelift/pkg/distribution"
 )
 
-type anyApproval struct{}
+type acceptAnyApproval struct{}
 
-func (anyApproval) Verify(bundle.Manifest, bundle.Approval) error { return nil }
+func (acceptAnyApproval) Verify(bundle.Manifest, bundle.Approval) error { return nil }
 
-// largeContent is a bundle with many routes; version changes one of them.
+// largeContent returns a bundle with many routes, one of which depends on the version.
 func largeContent(routes, version int) bundle.Content {
 	c := bundle.Content{Services: []bundle.Service{{Name: "media"}, {Name: "orders"}}}
 	for i := range routes {
@@ -29,8 +29,8 @@
 	return c
 }
 
-// updates are those of versions that each change one or two routes of many.
-func updates(b *testing.B, routes, versions int) []*distribution.Update {
+// versionUpdates returns updates that each change one or two of many routes.
+func versionUpdates(b *testing.B, routes, versions int) []*distribution.Update {
 	b.Helper()
 	state := &distribution.State{}
 	planner := distribution.NewPlanner(state)
@@ -41,10 +41,10 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		before := state.Position()
+		from := state.Position()
 		state = state.Activate(&bundle.Signed{Manifest: bundle.Manifest{Version: uint64(version), Digest: tree.Root()}, Content: content})
 		planner.SetState(state)
-		update, err := planner.Plan("", before)
+		update, err := planner.Plan("", from)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -53,13 +53,13 @@
 	return all
 }
 
-// BenchmarkVersionAtNode is what a node does for a version that changes two of 2300 routes:
-// it checks the update whole and builds the table.
-func BenchmarkVersionAtNode(b *testing.B) {
-	all := updates(b, 2300, 40)
+// BenchmarkApplyVersion measures a node's work for a version that changes two of 2300 routes: it verifies
+// the update and builds the table.
+func BenchmarkApplyVersion(b *testing.B) {
+	all := versionUpdates(b, 2300, 40)
 	b.ResetTimer()
 	for range b.N {
-		h := distribution.NewHolder("", anyApproval{}, nil)
+		h := distribution.NewHolder("", acceptAnyApproval{}, nil)
 		for _, update := range all {
 			if err := h.Apply(update); err != nil {
 				b.Fatal(err)
--- a/pkg/routing/match.go
+++ b/pkg/routing/match.go
@@ -6,13 +6,12 @@
 	"bramblelift/pkg/bundle"
 )
 
-// routeIndex finds routes by host and prefix. It is immutable.
+// routeIndex finds routes by host and path prefix. It is immutable.
 type routeIndex struct {
-	// hosts hold the routes of each host by prefix; the empty host holds those that take
-	// every host.
+	// hosts holds the routes of each host by prefix. The empty host holds the routes for all hosts.
 	hosts map[string]map[string]*Route
 	names map[string]bool
-	// regional is set if some route may be served by some regions only.
+	// regional is set if at least one route is restricted to regions.
 	regional bool
 }
 
@@ -20,13 +19,14 @@
 	index := &routeIndex{hosts: map[string]map[string]*Route{}, names: make(map[string]bool, len(content.Routes))}
 	resolved := make([]Route, len(content.Routes))
 	for i := range content.Routes {
-		resolved[i] = resolve(content, &content.Routes[i])
+		resolved[i] = resolveRoute(content, &content.Routes[i])
 		index.add(&resolved[i], len(content.Routes))
 	}
 	return index
 }
 
-// add takes in a route. Of two with one place the first stays; a valid bundle has none.
+// add inserts a route. Of two routes with the same host and prefix the first one is kept; a valid bundle
+// has no such pair.
 func (x *routeIndex) add(r *Route, sizeHint int) {
 	prefixes := x.hosts[r.Host]
 	if prefixes == nil {
@@ -40,8 +40,8 @@
 	}
 }
 
-// match returns the route with the longest prefix of the path that ends at a segment, of the
-// host's own routes or else of those for every host.
+// match returns the route whose prefix is the longest one that ends at a segment of the path. Routes of
+// the host precede those for all hosts.
 func (x *routeIndex) match(host, path string) *Route {
 	if found := longestPrefix(x.hosts[host], path); found != nil {
 		return found
@@ -49,8 +49,8 @@
 	return longestPrefix(x.hosts[""], path)
 }
 
-// longestPrefix looks up the path itself, then what ends at each of its slashes, with and
-// without the slash.
+// longestPrefix looks up the path itself and then its prefixes up to each slash, from the longest to the
+// shortest, with and without that slash.
 func longestPrefix(prefixes map[string]*Route, path string) *Route {
 	if len(prefixes) == 0 {
 		return nil
--- a/pkg/routing/match_test.go
+++ b/pkg/routing/match_test.go
@@ -11,45 +11,45 @@
 	"pgregory.net/rapid"
 )
 
-// longestBySearch is the plain meaning of the match: of all prefixes that end at a segment of
-// the path, the longest.
-func longestBySearch(routes []bundle.Route, host, path string) string {
-	best := ""
+// longestPrefixBySearch is the reference for Match: of all prefixes that end at a segment of the path, it
+// returns the longest.
+func longestPrefixBySearch(routes []bundle.Route, host, path string) string {
+	longest := ""
 	for _, r := range routes {
 		rest, found := strings.CutPrefix(path, r.PathPrefix)
-		whole := found && (rest == "" || strings.HasSuffix(r.PathPrefix, "/") || rest[0] == '/')
-		if whole && r.Host == host && len(r.PathPrefix) > len(best) {
-			best = r.PathPrefix
+		matches := found && (rest == "" || strings.HasSuffix(r.PathPrefix, "/") || rest[0] == '/')
+		if matches && r.Host == host && len(r.PathPrefix) > len(longest) {
+			longest = r.PathPrefix
 		}
 	}
-	return best
+	return longest
 }
 
-func TestMatchIsTheLongestPrefix(t *testing.T) {
-	segment := rapid.StringMatching(`[ab]{0,2}`)
-	path := rapid.Custom(func(t *rapid.T) string {
-		return "/" + strings.Join(rapid.SliceOfN(segment, 0, 4).Draw(t, "segments"), "/")
+func TestMatchFindsTheLongestPrefix(t *testing.T) {
+	segmentGen := rapid.StringMatching(`[ab]{0,2}`)
+	pathGen := rapid.Custom(func(t *rapid.T) string {
+		return "/" + strings.Join(rapid.SliceOfN(segmentGen, 0, 4).Draw(t, "segments"), "/")
 	})
 	rapid.Check(t, func(t *rapid.T) {
 		c := bundle.Content{Services: []bundle.Service{{Name: "s"}}}
-		taken := map[string]bool{}
+		seen := map[string]bool{}
 		for range rapid.IntRange(1, 12).Draw(t, "routes") {
-			r := bundle.Route{Host: rapid.SampledFrom([]string{"", "h"}).Draw(t, "host"), PathPrefix: path.Draw(t, "prefix"), Service: "s"}
+			r := bundle.Route{Host: rapid.SampledFrom([]string{"", "h"}).Draw(t, "host"), PathPrefix: pathGen.Draw(t, "prefix"), Service: "s"}
 			r.Name = r.Host + r.PathPrefix
-			if !taken[r.Name] {
+			if !seen[r.Name] {
 				c.Routes = append(c.Routes, r)
 			}
-			taken[r.Name] = true
+			seen[r.Name] = true
 		}
 		table := New(&distribution.State{Active: &bundle.Signed{Content: c}})
-		asked := path.Draw(t, "path")
-		want := longestBySearch(c.Routes, "h", asked)
+		requestPath := pathGen.Draw(t, "path")
+		want := longestPrefixBySearch(c.Routes, "h", requestPath)
 		if want == "" {
-			want = longestBySearch(c.Routes, "", asked)
+			want = longestPrefixBySearch(c.Routes, "", requestPath)
 		}
-		got, found := table.Match("H:80", asked)
+		got, found := table.Match("H:80", requestPath)
 		if found != (want != "") || got.PathPrefix != want {
-			t.Fatalf("%s goes to %q, expected %q", asked, got.PathPrefix, want)
+			t.Fatalf("%s goes to %q, expected %q", requestPath, got.PathPrefix, want)
 		}
 	})
 }
--- a/pkg/routing/routing.go
+++ b/pkg/routing/routing.go
@@ -1,5 +1,5 @@
-// Package routing turns a distributed state into the table by which a node answers
-// calls. A table is immutable and swapped whole.
+// Package routing builds the table by which a node routes calls from the state distributed by the control
+// plane. A table is immutable and replaced as a whole.
 package routing
 
 import (
@@ -16,34 +16,33 @@
 	"bramblelift/pkg/rollout"
 )
 
-// DefaultTimeout bounds calls of routes that set none.
+// DefaultTimeout is the timeout of calls on routes that configure none.
 const DefaultTimeout = 10 * time.Second
 
-// Route is a route with everything it refers to resolved.
+// Route is a route of the bundle with its service shares, secret and timeout resolved.
 type Route struct {
 	Name       string
 	PathPrefix string
-	// Host is in lower case; empty takes every host.
+	// Host is in lower case; empty matches every host.
 	Host string
-	// Targets are the pools that take the calls, by weight; at least one weighs more
-	// than 0.
+	// Targets are the services that receive the calls, by weight. At least one weight is positive.
 	Targets []bundle.Share
-	// Credential goes to the back end; empty for none.
+	// Credential is sent to the back end; empty for none.
 	Credential string
 	Timeout    time.Duration
 	Once       bool
 	Kind       bundle.Kind
-	// MaxAttempts bounds the back ends that one call is sent to; zero for no bound.
+	// MaxAttempts is the largest number of back ends that one call is sent to; zero for no bound.
 	MaxAttempts   int
 	Priority      int
 	TargetLatency time.Duration
-	// Regions are the only ones that may serve the calls; empty means all.
+	// Regions are the regions that may serve the calls; empty allows all.
 	Regions []string
-	// Public routes take calls without a tenant's key, too.
+	// Public routes also accept calls without a tenant's key.
 	Public bool
 }
 
-// Pick returns the target for a number drawn from [0, 1).
+// Pick returns a target by weight for a random number in [0, 1).
 func (r Route) Pick(random float64) string {
 	if len(r.Targets) == 1 {
 		return r.Targets[0].Service
@@ -62,68 +61,67 @@
 	return r.Targets[len(r.Targets)-1].Service
 }
 
-// Endpoint is one back end of a service.
+// Endpoint is one back end of a service, with its eligibility for calls.
 type Endpoint struct {
 	ID          string
 	Incarnation uint64
 	Address     string
 	Zone        string
-	// Gate takes the back end's calls in its place; empty for none.
+	// Gate is the address of the back end's gate, which receives its calls; empty for none.
 	Gate     string
 	Capacity int
 	Leaving  bool
-	// Region is that of the zone, empty if it is not known.
+	// Region is the region of the zone, empty if unknown.
 	Region string
-	// Version is that of the back end's software, empty if unknown.
+	// Version is the version of the back end's software, empty if unknown.
 	Version string
-	// Closing is set while a rollout closes its gate: it takes calls only if that fails.
+	// Closing is set while a rollout closes the back end's gate: it gets calls only if the rollout fails.
 	Closing bool
-	// Refused is why the back end may get nothing new for the time being, empty if it may.
+	// Refused is the reason why the back end gets no new calls at present, empty if it may get them.
 	Refused exchange.Reason
 }
 
-// Service is a pool's definition.
+// Service is the configuration of a service together with its current back ends.
 type Service struct {
 	Name           string
 	MaxConcurrency int
 	MaxConnections int
-	// ColdStart is for how long a back end is cold after its start, ColdRate how many calls a second
-	// it bears until then; zero for no bound.
+	// ColdStart is how long a back end stays cold after its start, ColdRate the calls per second that it
+	// can take while cold; zero for no bound.
 	ColdStart time.Duration
 	ColdRate  float64
-	// Rollout is the newest one of the service, nil if it never had one.
+	// Rollout is the service's newest rollout, nil if it never had one.
 	Rollout *rollout.Rollout
-	// HealthPath is where back ends say how they are, empty for nowhere.
+	// HealthPath is the URL path of the back ends' health check, empty for none.
 	HealthPath string
 	Endpoints  []Endpoint
 }
 
-// Table answers which route takes a path.
+// Table maps hosts and paths to routes, services and tenants of one state.
 type Table struct {
 	Version  uint64
 	Revision uint64
-	// Limits bound what callers may send.
+	// Limits bound the requests of callers.
 	Limits   bundle.Limits
 	Services []Service
-	// Rules say which back ends may take calls.
+	// Rules decide which back ends may take calls.
 	Rules *eligibility.Rules
-	// active is what routes were resolved from.
-	active  *bundle.Signed
-	routes  *routeIndex
-	tenants *tenantIndex
+	// activeBundle is the bundle that the indexes were built from.
+	activeBundle *bundle.Signed
+	routes       *routeIndex
+	tenants      *tenantIndex
 }
 
-// New builds the table of a state whose active bundle is consistent, without regions.
+// New builds the table of a state whose active bundle is valid, without a mapping of zones to regions.
 func New(state *distribution.State) *Table { return Next(nil, state, nil) }
 
-// Next builds the table of a state that follows the one of an earlier table, which may be
-// nil. Endpoints change far more often than bundles: routes of the same bundle are shared. regions
-// holds the region of each zone.
-func Next(earlier *Table, state *distribution.State, regions map[string]string) *Table {
+// Next builds the table of a state and reuses the indexes of the previous table, which may be nil, if the
+// bundle is the same: endpoints change far more often than bundles. regions maps zones to regions.
+func Next(previous *Table, state *distribution.State, regions map[string]string) *Table {
 	content := state.Active.Content
-	table := &Table{Version: state.Active.Manifest.Version, Revision: state.Revision, Limits: content.Limits, active: state.Active}
-	if earlier != nil && earlier.active == state.Active {
-		table.routes, table.tenants = earlier.routes, earlier.tenants
+	table := &Table{Version: state.Active.Manifest.Version, Revision: state.Revision, Limits: content.Limits, activeBundle: state.Active}
+	if previous != nil && previous.activeBundle == state.Active {
+		table.routes, table.tenants = previous.routes, previous.tenants
 	} else {
 		table.routes, table.tenants = newRouteIndex(content), newTenantIndex(content.Tenants)
 	}
@@ -133,13 +131,13 @@
 			Name: service.Name, MaxConcurrency: service.MaxConcurrency, MaxConnections: service.MaxConnections,
 			ColdStart: time.Duration(service.ColdStart), ColdRate: service.ColdRate, HealthPath: service.HealthPath,
 			Rollout:   newestRollout(state.Orders, service.Name),
-			Endpoints: endpoints(service, state.Endpoints[service.Name], table.Rules),
+			Endpoints: mergeEndpoints(service, state.Endpoints[service.Name], table.Rules),
 		})
 	}
 	return table
 }
 
-func resolve(content bundle.Content, route *bundle.Route) Route {
+func resolveRoute(content bundle.Content, route *bundle.Route) Route {
 	resolved := Route{
 		Name: route.Name, PathPrefix: route.PathPrefix, Host: strings.ToLower(route.Host),
 		Targets: content.Targets(*route),
@@ -160,23 +158,23 @@
 }
 
 func newestRollout(table *orders.Table, service string) *rollout.Rollout {
-	held, found := table.RolloutOf(service)
+	newest, found := table.RolloutOf(service)
 	if !found {
 		return nil
 	}
-	return &held
+	return &newest
 }
 
-// endpoints joins the bundle's own endpoints with the platform's; the platform's word
-// on an ID goes first.
-func endpoints(service bundle.Service, listed map[string]distribution.Endpoint, rules *eligibility.Rules) []Endpoint {
+// mergeEndpoints merges the endpoints of the bundle with those registered by the platform, which override
+// the bundle's by ID, and drops removed ones.
+func mergeEndpoints(service bundle.Service, registered map[string]distribution.Endpoint, rules *eligibility.Rules) []Endpoint {
 	var all []Endpoint
-	for _, named := range service.Endpoints {
-		if _, found := listed[named.ID]; !found {
-			all = append(all, Endpoint{ID: named.ID, Incarnation: named.Incarnation, Address: named.Address, Zone: named.Zone})
+	for _, static := range service.Endpoints {
+		if _, found := registered[static.ID]; !found {
+			all = append(all, Endpoint{ID: static.ID, Incarnation: static.Incarnation, Address: static.Address, Zone: static.Zone})
 		}
 	}
-	for _, endpoint := range listed {
+	for _, endpoint := range registered {
 		if endpoint.State != distribution.Removed {
 			all = append(all, Endpoint{
 				ID: endpoint.ID, Incarnation: endpoint.Incarnation, Address: endpoint.Address,
@@ -195,22 +193,20 @@
 	return all
 }
 
-// Match returns the route for a host, which may carry a port, and a path: of the host's own
-// routes, or else of those for every host, the one with the longest prefix of the path
-// that ends at a segment.
+// Match returns the route for a Host header, with or without a port, and a path. Routes of the host
+// precede those for all hosts; among them the longest prefix that ends at a segment matches.
 func (t *Table) Match(host, path string) (Route, bool) {
-	found := t.routes.match(hostName(host), path)
+	found := t.routes.match(normalizeHost(host), path)
 	if found == nil {
 		return Route{}, false
 	}
 	return *found, true
 }
 
-// ServedIn reports whether back ends of a zone may take a call of a tenant, whose name is empty for none. A
-// call without a route, or of a tenant that is not known, is not judged by it: the table may be older than
-// the caller's.
+// ServedIn reports whether back ends of a zone may serve a call of a tenant, whose name may be empty. An
+// unknown route or tenant restricts nothing, since this table may be older than the caller's.
 func (t *Table) ServedIn(zone, host, path, tenant string) bool {
-	if held := t.tenants.named(tenant); held != nil && !t.Rules.InRegions(zone, held.Regions) {
+	if customer := t.tenants.named(tenant); customer != nil && !t.Rules.InRegions(zone, customer.Regions) {
 		return false
 	}
 	if !t.routes.regional {
@@ -220,8 +216,8 @@
 	return !found || t.Rules.InRegions(zone, route.Regions)
 }
 
-// hostName strips the port of a Host header and folds its case.
-func hostName(host string) string {
+// normalizeHost strips the port of a Host header and converts it to lower case.
+func normalizeHost(host string) string {
 	if strings.IndexByte(host, ':') >= 0 {
 		if name, _, err := net.SplitHostPort(host); err == nil {
 			host = name
@@ -230,8 +226,8 @@
 	return strings.ToLower(host)
 }
 
-// Has reports whether the table has a route of a name.
+// Has reports whether the table has a route with the given name.
 func (t *Table) Has(name string) bool { return t.routes.names[name] }
 
-// Routes returns how many routes the table has.
+// Routes returns the number of routes in the table.
 func (t *Table) Routes() int { return len(t.routes.names) }
--- a/pkg/routing/routing_test.go
+++ b/pkg/routing/routing_test.go
@@ -48,7 +48,7 @@
 	is.New(t).True(!found)
 }
 
-func TestHandBackMovesRoutes(t *testing.T) {
+func TestHandBackSwitchesRoutesToTheOldService(t *testing.T) {
 	is := is.New(t)
 	route, _ := New(testState(false)).Match("", "/orders")
 	is.Equal(route.Targets[0].Service, "new")
@@ -57,11 +57,11 @@
 	route, _ = New(testState(true)).Match("", "/orders")
 	is.Equal(route.Targets[0].Service, "old")
 	route, _ = New(testState(true)).Match("", "/x")
-	is.Equal(route.Targets[0].Service, "old") // a route without one stays
+	is.Equal(route.Targets[0].Service, "old") // a route without HandBackService keeps its service
 	is.Equal(route.Timeout, DefaultTimeout)
 }
 
-func TestPlatformsWordGoesFirst(t *testing.T) {
+func TestRegisteredEndpointOverridesStaticOne(t *testing.T) {
 	is := is.New(t)
 	endpoints := New(testState(false)).Services[0].Endpoints
 	is.Equal(len(endpoints), 2)
--- a/pkg/routing/tenants.go
+++ b/pkg/routing/tenants.go
@@ -5,19 +5,19 @@
 	"bramblelift/pkg/quota"
 )
 
-// Tenant is a customer whose calls are told from others' by a key.
+// Tenant is a customer, identified by a key in its calls.
 type Tenant struct {
 	Name string
-	// Limit bounds what all nodes together let in of its calls; the zero value does not.
+	// Limit bounds the rate of its calls over all nodes; the zero value is no limit.
 	Limit quota.Limit
-	// Priority ranks its calls before the routes' priorities do; 0 goes first.
+	// Priority orders its calls before the priorities of routes; 0 is served first.
 	Priority int
-	// Regions are the only ones that may serve its calls; empty means all.
+	// Regions are the regions that may serve its calls; empty allows all.
 	Regions []string
 }
 
-// tenantIndex finds tenants by the digests of their keys. It is immutable. A look-up takes no longer for a
-// key that is nearly right: who tries keys does not know which digests come close.
+// tenantIndex finds tenants by the digests of their keys. It is immutable. A lookup by digest leaks no
+// timing about similar keys, since a caller can't tell which digests are similar.
 type tenantIndex struct {
 	byKey  map[bundle.Digest]*Tenant
 	byName map[string]*Tenant
@@ -40,7 +40,7 @@
 	return index
 }
 
-// named returns a tenant by its name, nil if there is none of it.
+// named returns the tenant with the given name, nil if there is none.
 func (x *tenantIndex) named(name string) *Tenant {
 	if name == "" {
 		return nil
@@ -48,16 +48,16 @@
 	return x.byName[name]
 }
 
-// HasTenants reports whether calls need a tenant's key, on routes that are not public.
+// HasTenants reports whether calls on routes that are not public need a tenant's key.
 func (t *Table) HasTenants() bool { return len(t.tenants.byName) > 0 }
 
-// TenantOf returns the tenant that has a key, nil if none has.
+// TenantOf returns the tenant to which a key digest belongs, nil if none.
 func (t *Table) TenantOf(key bundle.Digest) *Tenant { return t.tenants.byKey[key] }
 
-// TenantLimits returns the limits of all tenants that have one, by name.
+// TenantLimits returns the limits of all tenants that have one, by tenant name.
 func (t *Table) TenantLimits() map[string]quota.Limit { return t.tenants.limits }
 
-// TenantLimits returns the limits of those tenants that have one, by name.
+// TenantLimits returns the limits of those tenants that have one, by tenant name.
 func TenantLimits(tenants []bundle.Tenant) map[string]quota.Limit {
 	limits := make(map[string]quota.Limit, len(tenants))
 	for _, tenant := range tenants {
