--- a/pkg/retry/budget.go
+++ b/pkg/retry/budget.go
@@ -1,4 +1,4 @@
-// Package retry bounds how much traffic retries may add.
+// Package retry bounds the traffic that retries add, and throttles requests to overloaded servers.
 package retry
 
 import (
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// Config sets up a Budget.
+// Config holds the parameters of a Budget.
 type Config struct {
-	// Ratio is how many retries each first attempt pays for.
+	// Ratio is the number of retries that each first attempt adds to the budget.
 	Ratio float64
-	// PerSecond is a small allowance for when there is little traffic.
+	// PerSecond is the number of retries added per second, for times of little traffic.
 	PerSecond float64
-	// Max bounds what can be saved up.
+	// Max bounds the balance, in retries.
 	Max float64
 }
 
-// DefaultConfig lets retries add a tenth to the traffic.
+// DefaultConfig returns a configuration in which retries add at most a tenth to the traffic, apart from
+// the small amount per second.
 func DefaultConfig() Config {
 	return Config{Ratio: 0.1, PerSecond: 1, Max: 20}
 }
 
-// DeclineConfig lets retries of declined calls double the number of attempts: a decline
-// is cheap, and the next back end may well be free.
+// DeclineConfig returns a configuration for retries of declined calls, which may double the number of
+// attempts: a decline is cheap, and the next back end may have free capacity.
 func DeclineConfig() Config {
 	return Config{Ratio: 1, PerSecond: 1, Max: 50}
 }
 
-// Budget is an account that first attempts pay into and retries draw from. It is safe
-// for concurrent use.
+// Budget is a token bucket that first attempts fill and retries drain. It is safe for concurrent use.
 type Budget struct {
 	config Config
 
@@ -37,23 +37,23 @@
 	updatedAt time.Duration
 }
 
-// NewBudget returns a budget that starts with half of what it can hold.
+// NewBudget returns a budget whose balance is half of its maximum.
 func NewBudget(config Config) *Budget {
 	return &Budget{config: config, balance: config.Max / 2}
 }
 
-// Attempt notes a first attempt.
+// Attempt records a first attempt and credits the budget for it.
 func (b *Budget) Attempt(now time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.earn(now, b.config.Ratio)
+	b.credit(now, b.config.Ratio)
 }
 
-// Withdraw reports whether a retry may be made, and pays for it.
+// Withdraw reports whether a retry is allowed, and debits the budget if so.
 func (b *Budget) Withdraw(now time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.earn(now, 0)
+	b.credit(now, 0)
 	if b.balance < 1 {
 		return false
 	}
@@ -61,16 +61,16 @@
 	return true
 }
 
-// Charge draws for calls that another service's retries cause here, which cannot be refused. It may overdraw the
-// budget by as much as can be saved up; later attempts make up for that before another retry is allowed.
+// Charge debits calls caused here by retries of another service, which can't be rejected. The balance may
+// fall to -Max; later attempts must make up for that before another retry is allowed.
 func (b *Budget) Charge(now time.Duration, amount float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.earn(now, 0)
+	b.credit(now, 0)
 	b.balance = max(-b.config.Max, b.balance-amount)
 }
 
-func (b *Budget) earn(now time.Duration, amount float64) {
+func (b *Budget) credit(now time.Duration, amount float64) {
 	elapsed := max(0, now-b.updatedAt)
 	b.updatedAt = now
 	b.balance = min(b.config.Max, b.balance+amount+elapsed.Seconds()*b.config.PerSecond)
--- a/pkg/retry/budget_test.go
+++ b/pkg/retry/budget_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestRetriesAreAShareOfTraffic(t *testing.T) {
+func TestRetriesAreBoundedByTraffic(t *testing.T) {
 	is := is.New(t)
 	b := NewBudget(Config{Ratio: 0.1, Max: 20})
 	for b.Withdraw(0) {
@@ -20,10 +20,10 @@
 			granted++
 		}
 	}
-	is.True(granted >= 95 && granted <= 101) // a tenth, though every call wants one
+	is.True(granted >= 95 && granted <= 101) // a tenth, although every call requests a retry
 }
 
-func TestBudgetSavesOnlySoMuch(t *testing.T) {
+func TestBudgetBalanceIsBounded(t *testing.T) {
 	is := is.New(t)
 	b := NewBudget(DefaultConfig())
 	for range 10000 {
@@ -34,11 +34,11 @@
 		granted++
 	}
 	is.Equal(granted, int(DefaultConfig().Max))
-	is.True(b.Withdraw(3 * time.Second)) // the allowance for little traffic
+	is.True(b.Withdraw(3 * time.Second)) // the amount added per second
 }
 
-// What repeats make elsewhere is paid for by those that could still be refused.
-func TestChargesComeBeforeRetries(t *testing.T) {
+// Guards against charged calls that add to the traffic on top of the retries.
+func TestChargesReduceRetries(t *testing.T) {
 	is := is.New(t)
 	b := NewBudget(Config{Ratio: 0.1, Max: 20})
 	granted := 0
@@ -49,7 +49,7 @@
 			granted++
 		}
 	}
-	is.True(granted >= 380 && granted <= 420) // a tenth less what was charged
+	is.True(granted >= 380 && granted <= 420) // a tenth less the charges
 	for range 1000 {
 		b.Charge(0, 1)
 	}
--- a/pkg/retry/throttle.go
+++ b/pkg/retry/throttle.go
@@ -8,73 +8,71 @@
 )
 
 const (
-	// throttleMultiple is how many times as much may be asked for as was lately granted. With 3
-	// at least a third of what is asked is granted, and a server that has room again is found
-	// within about throttleHalfLife.
-	throttleMultiple = 3.0
-	// throttleFree is how many more may be asked for: a few refusals are no overload.
-	throttleFree = 4.0
-	// throttleHalfLife is after how long what was asked and granted counts half.
-	throttleHalfLife = time.Second
+	// requestMultiple is how many requests are allowed for each one granted. With 3, at least a third of
+	// the requests is granted, and free capacity is detected within about halfLife.
+	requestMultiple = 3.0
+	// freeRequests is the number of requests allowed beyond that: a few rejections are no overload.
+	freeRequests = 4.0
+	// halfLife is the time after which requests and grants count half.
+	halfLife = time.Second
 )
 
-// Throttle keeps a client from asking for what is refused anyway: it drops calls in proportion to
-// the share that servers refused lately ("Site Reliability Engineering", Beyer and others, 2016,
-// chapter 21, client-side throttling). Asking costs time and bytes, of which there are least when
-// servers are full. It is safe for concurrent use; the zero value lets everything through.
+// Throttle implements client-side throttling ("Site Reliability Engineering", Beyer and others, 2016,
+// chapter 21): it drops requests in proportion to the share that servers rejected recently, so that
+// requests likely to be rejected do not add to an overload. It is safe for concurrent use; the zero value
+// allows everything.
 type Throttle struct {
-	mu             sync.Mutex
-	asked, granted float64
-	at             time.Duration
+	mu                 sync.Mutex
+	requested, granted float64
+	updatedAt          time.Duration
 }
 
-// Allow reports whether to ask, for a number drawn from [0, 1), and notes that it was asked.
+// Allow reports whether to send a request, for a random number in [0, 1), and counts the request if so.
 func (t *Throttle) Allow(now time.Duration, random float64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.forget(now)
-	refused := max(0, (t.asked-throttleMultiple*t.granted-throttleFree)/(t.asked+1))
-	if random < refused {
+	t.decay(now)
+	rejectProbability := max(0, (t.requested-requestMultiple*t.granted-freeRequests)/(t.requested+1))
+	if random < rejectProbability {
 		return false
 	}
-	t.asked++
+	t.requested++
 	return true
 }
 
-// Granted notes that what was asked for was granted.
+// Granted records that a request was granted.
 func (t *Throttle) Granted(now time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.forget(now)
+	t.decay(now)
 	t.granted++
 }
 
-// Withdrawn takes back that something was asked: the answer says nothing of the servers' room.
+// Withdrawn cancels a counted request whose response says nothing about the servers' capacity.
 func (t *Throttle) Withdrawn(now time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.forget(now)
-	t.asked = max(t.granted, t.asked-1)
+	t.decay(now)
+	t.requested = max(t.granted, t.requested-1)
 }
 
-// NotGranted returns which share of what was asked lately was not granted, from 0 to 1: it was
-// refused, or the answer is still to come.
+// NotGranted returns the share of recent requests that were rejected or are pending, from 0 to 1.
 func (t *Throttle) NotGranted(now time.Duration) float64 {
-	asked, granted := t.Counts(now)
-	return max(0, (asked-granted)/(asked+throttleFree))
+	requested, granted := t.Counts(now)
+	return max(0, (requested-granted)/(requested+freeRequests))
 }
 
-// Counts returns how much was asked and granted lately, as the throttle weighs it.
-func (t *Throttle) Counts(now time.Duration) (asked, granted float64) {
+// Counts returns the numbers of recent requests and grants, weighted by age.
+func (t *Throttle) Counts(now time.Duration) (requested, granted float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.forget(now)
-	return t.asked, t.granted
+	t.decay(now)
+	return t.requested, t.granted
 }
 
-func (t *Throttle) forget(now time.Duration) {
-	kept := clock.Kept(max(0, now-t.at), throttleHalfLife)
-	t.asked *= kept
-	t.granted *= kept
-	t.at = now
+func (t *Throttle) decay(now time.Duration) {
+	factor := clock.Kept(max(0, now-t.updatedAt), halfLife)
+	t.requested *= factor
+	t.granted *= factor
+	t.updatedAt = now
 }
