--- a/pkg/rollout/gate.go
+++ b/pkg/rollout/gate.go
@@ -36,14 +36,13 @@
 	Admitted uint64
 	// Confirmed is the time since the control plane last confirmed the node's copy of the rollout.
 	Confirmed time.Duration
-	// Cold is set while the back end is cold.
-	Cold bool
+	Cold      bool
 }
 
-// Admits reports whether the gate admits one more call during a rollout. A gate of the new version needs a
-// grant confirmed within LeaseTime, and rejects canary calls while its back end is cold. A gate of another
-// version closes in the Closing phase, and reopens if its lease expires before Completed, because gates of
-// the new version reject everything then.
+// Admits reports whether the gate admits one more call during a rollout. Until Completed, a gate of the
+// new version needs a grant confirmed within LeaseTime; it rejects canary calls while its back end is
+// cold. A gate of another version closes in the Closing phase, and reopens if its lease expires before
+// Completed, because gates of the new version reject everything then.
 func (g Gate) Admits(r Rollout) bool {
 	valid := g.Confirmed <= LeaseTime
 	if g.Version == r.Version {
--- a/pkg/rollout/gate_test.go
+++ b/pkg/rollout/gate_test.go
@@ -30,9 +30,9 @@
 
 func TestGatesFollowFinalPhases(t *testing.T) {
 	for _, c := range []struct {
-		phase             Phase
-		fresh, old        bool
-		freshCut, oldOpen bool // while disconnected from the control plane
+		phase                            Phase
+		newAdmits, oldAdmits             bool
+		newDisconnected, oldDisconnected bool // while disconnected from the control plane
 	}{
 		{Closing, true, false, false, true},
 		{Completed, true, false, true, false},
@@ -41,10 +41,10 @@
 	} {
 		is := is.New(t)
 		r := Rollout{Version: "v2", Phase: c.phase, Grants: []Grant{{Life: 7, Upto: 5}}}
-		is.Equal(Gate{Version: "v2", Life: 7}.Admits(r), c.fresh)
-		is.Equal(Gate{Version: "v1"}.Admits(r), c.old)
-		is.Equal(Gate{Version: "v2", Life: 7, Confirmed: time.Minute}.Admits(r), c.freshCut)
-		is.Equal(Gate{Version: "v1", Confirmed: time.Minute}.Admits(r), c.oldOpen)
+		is.Equal(Gate{Version: "v2", Life: 7}.Admits(r), c.newAdmits)
+		is.Equal(Gate{Version: "v1"}.Admits(r), c.oldAdmits)
+		is.Equal(Gate{Version: "v2", Life: 7, Confirmed: time.Minute}.Admits(r), c.newDisconnected)
+		is.Equal(Gate{Version: "v1", Confirmed: time.Minute}.Admits(r), c.oldDisconnected)
 	}
 }
 
--- a/pkg/rollout/node.go
+++ b/pkg/rollout/node.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// Careful reports whether the node sends the new version no calls at the current share.
+// Careful reports whether the node sends the new version no calls at this share.
 func (c *Caution) Careful(r Rollout) bool {
 	return c.number == r.Number && c.share == r.Share && c.balance >= carefulFailures
 }
--- a/pkg/rollout/order.go
+++ b/pkg/rollout/order.go
@@ -75,7 +75,7 @@
 	return r
 }
 
-// Stop returns the step that rolls back a running rollout on an operator's request.
+// Stop returns the step that rolls back a running rollout on an operator's request, or ErrNotRunning.
 func Stop(held *Rollout, now time.Time) (Rollout, error) {
 	if held == nil || (held.Phase != Running && held.Phase != Closing) {
 		return Rollout{}, ErrNotRunning
--- a/pkg/rollout/report.go
+++ b/pkg/rollout/report.go
@@ -55,7 +55,6 @@
 	Zone     string
 	// Life identifies the run of the gate's process with this back end.
 	Life uint64
-	// Cold is set while the back end is cold.
 	Cold bool
 	// Admitted counts the admitted calls, Repeats those of them that the gate recognised as retries.
 	Admitted uint64
--- a/pkg/rollout/series.go
+++ b/pkg/rollout/series.go
@@ -44,11 +44,11 @@
 
 // since returns the counts of the last ticks, or all counts for allTime and for windows beyond the
 // history.
-func (s *series) since(back int) counts {
-	if back == allTime || back > len(s.history) {
+func (s *series) since(ticks int) counts {
+	if ticks == allTime || ticks > len(s.history) {
 		return s.current
 	}
-	return s.current.minus(s.history[(s.oldest+len(s.history)-back)%len(s.history)])
+	return s.current.minus(s.history[(s.oldest+len(s.history)-ticks)%len(s.history)])
 }
 
 func (c counts) minus(before counts) counts {
@@ -206,8 +206,8 @@
 }
 
 // sampleOf returns the sample of a window, with times classified by the route's baselines.
-func (s *series) sampleOf(w int, r *route) sample {
-	d := s.since(w)
+func (s *series) sampleOf(ticks int, r *route) sample {
+	d := s.since(ticks)
 	result := sample{
 		gateRun: s.gateRun.report.Life,
 		zone:    s.gateRun.report.Zone,
@@ -237,6 +237,7 @@
 // processRun holds what one run of a gate's process with one back end has reported.
 type processRun struct {
 	report Report
+	// target is set for back ends of the new version.
 	target bool
 	// firstDistinct is distinctCalls of the first report that this judge received.
 	firstDistinct uint64
@@ -298,10 +299,10 @@
 }
 
 // recentSample returns the calls of the last ticks.
-func (run *processRun) recentSample(back int) sample {
+func (run *processRun) recentSample(ticks int) sample {
 	result := sample{zone: run.report.Zone}
 	for _, s := range run.routes {
-		d := s.since(back)
+		d := s.since(ticks)
 		result.calls += float64(d.answered + d.failed)
 		result.failed += float64(d.failed)
 	}
--- a/pkg/rollout/verdict.go
+++ b/pkg/rollout/verdict.go
@@ -150,12 +150,12 @@
 	}
 	for name, r := range routes {
 		byWindow := make([]windowSamples, len(windows))
-		for i, w := range windows {
+		for i, ticks := range windows {
 			byWindow[i].reserve(len(r.series))
 			for _, s := range r.series {
-				one := s.sampleOf(w, r)
-				byWindow[i].insert(one)
-				s.gateRun.allRoutes[i].add(one)
+				windowSample := s.sampleOf(ticks, r)
+				byWindow[i].insert(windowSample)
+				s.gateRun.allRoutes[i].add(windowSample)
 			}
 		}
 		testWindows(&v, "route "+name, byWindow)
@@ -264,12 +264,12 @@
 	for _, s := range target {
 		all += s.calls
 	}
-	part := 1 / float64(v.requiredBackends)
+	share := 1 / float64(v.requiredBackends)
 	return func(s sample) float64 {
 		if all-s.calls >= minCallsOfOthers {
-			return min(part, maxLoneEvidence) * threshold
+			return min(share, maxLoneEvidence) * threshold
 		}
-		return part * threshold
+		return share * threshold
 	}
 }
 
@@ -294,9 +294,9 @@
 			callsIn[s.zone] += calls
 		}
 		score := sum / threshold
-		for zone, part := range byZone {
+		for zone, zoneEvidence := range byZone {
 			if rest := 1 - callsIn[zone]/max(1, all); rest > 0.01 {
-				score = min(score, (sum-part)/(minEvidenceElsewhere*rest*threshold))
+				score = min(score, (sum-zoneEvidence)/(minEvidenceElsewhere*rest*threshold))
 			}
 		}
 		best = max(best, score)
@@ -366,15 +366,15 @@
 	var all failureTally
 	byZone := make(map[string]failureTally)
 	for _, run := range target {
-		one := failureTally{failed: float64(run.failed()), ended: float64(run.failed() + run.answered()), allowed: 2 * run.expectedFailures()}
-		all = all.plus(one)
-		byZone[run.report.Zone] = byZone[run.report.Zone].plus(one)
+		tally := failureTally{failed: float64(run.failed()), ended: float64(run.failed() + run.answered()), allowed: 2 * run.expectedFailures()}
+		all = all.plus(tally)
+		byZone[run.report.Zone] = byZone[run.report.Zone].plus(tally)
 	}
 	if !all.exceeds(maxFailures) {
 		return
 	}
-	for _, part := range byZone {
-		if rest := all.minus(part); len(byZone) > 1 && !rest.exceeds(maxFailures*minEvidenceElsewhere*rest.ended/all.ended) {
+	for _, zoneTally := range byZone {
+		if rest := all.minus(zoneTally); len(byZone) > 1 && !rest.exceeds(maxFailures*minEvidenceElsewhere*rest.ended/all.ended) {
 			return
 		}
 	}
@@ -404,10 +404,10 @@
 // would have failed at the old version's rate. It must precede each evaluation.
 func (j *Judge) updateExpectedFailures() {
 	var byWindow [len(recentTicks)][]sample
-	for i, back := range recentTicks {
+	for i, ticks := range recentTicks {
 		for _, run := range j.runs {
 			if !run.target {
-				byWindow[i] = append(byWindow[i], run.recentSample(back))
+				byWindow[i] = append(byWindow[i], run.recentSample(ticks))
 			}
 		}
 	}
