--- a/pkg/balancer/cold.go
+++ b/pkg/balancer/cold.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// coldSlowness is how much longer a cold back end is expected to take than its gate has seen so far.
-const coldSlowness = 1.5
+// coldServiceFactor multiplies the reported service time of a cold back end.
+const coldServiceFactor = 1.5
 
-// ColdError says that all back ends that might take a call are cold, and have no room for it in the
-// time that it may wait. No gate was asked.
+// ColdError reports that all candidate back ends are cold and cannot admit the call within its
+// patience. No gate has seen the call.
 type ColdError struct {
-	// WarmIn is after how long the first of them is warm, and has room again.
+	// WarmIn is the time until the first of them is warm.
 	WarmIn time.Duration
 }
 
@@ -20,46 +20,46 @@
 	return "all back ends are cold and get no more calls at the moment"
 }
 
-// coldLeft is for how much longer the back end is cold, zero if it is warm or not known.
-func (e *endpoint) coldLeft(now time.Duration) time.Duration {
+// coldRemaining returns the time until the back end is warm, zero if it is warm or its state is unknown.
+func (e *endpoint) coldRemaining(now time.Duration) time.Duration {
 	if e.gate.report.Cold.Remaining == 0 {
 		return 0
 	}
 	return max(0, e.gate.at+e.gate.report.Cold.Remaining-now)
 }
 
-// coldWait estimates how long a call waits for the rate that the gate of a cold back end keeps, by the
-// gate's word and what this node sent there since.
+// coldWait estimates how long the rate limit of a cold back end's gate delays a call, from the gate's
+// last report and the calls that this node has sent since.
 func (e *endpoint) coldWait(now time.Duration) time.Duration {
-	left := e.coldLeft(now)
-	if left == 0 {
+	remaining := e.coldRemaining(now)
+	if remaining == 0 {
 		return 0
 	}
 	cold := e.gate.report.Cold
-	room := e.gate.at + cold.Room + time.Duration(e.gate.sent)*cold.Interval - now
-	return max(0, min(room, left))
+	admittedIn := e.gate.at + cold.Room + time.Duration(e.gate.sent)*cold.Interval - now
+	return max(0, min(admittedIn, remaining))
 }
 
-// slowness is how much longer the back end takes for being cold.
-func (e *endpoint) slowness(now time.Duration) float64 {
-	if e.coldLeft(now) > 0 {
-		return coldSlowness
+// serviceFactor returns the factor for the back end's service time: coldServiceFactor while cold, otherwise 1.
+func (e *endpoint) serviceFactor(now time.Duration) float64 {
+	if e.coldRemaining(now) > 0 {
+		return coldServiceFactor
 	}
 	return 1
 }
 
-// withColdRoom leaves out the cold back ends that have no room for a call within its patience, in place.
-// If none remains it returns when the first is warm.
-func withColdRoom(candidates []*endpoint, now, patience time.Duration) ([]*endpoint, error) {
-	var warm time.Duration
+// excludeSaturatedCold removes, in place, the cold back ends that cannot admit a call within its patience. If
+// none remains it returns a ColdError.
+func excludeSaturatedCold(candidates []*endpoint, now, patience time.Duration) ([]*endpoint, error) {
+	var warmIn time.Duration
 	for _, e := range candidates {
-		if left := e.coldLeft(now); warm == 0 || left < warm {
-			warm = left
+		if remaining := e.coldRemaining(now); warmIn == 0 || remaining < warmIn {
+			warmIn = remaining
 		}
 	}
-	room := slices.DeleteFunc(candidates, func(e *endpoint) bool { return e.coldWait(now) > patience })
-	if len(room) == 0 {
-		return nil, &ColdError{WarmIn: warm}
+	available := slices.DeleteFunc(candidates, func(e *endpoint) bool { return e.coldWait(now) > patience })
+	if len(available) == 0 {
+		return nil, &ColdError{WarmIn: warmIn}
 	}
-	return room, nil
+	return available, nil
 }
--- a/pkg/balancer/distance.go
+++ b/pkg/balancer/distance.go
@@ -8,105 +8,103 @@
 )
 
 const (
-	// remoteShare is what another zone adds to a score, in service times of the fastest
-	// back end: a call that crosses zones costs bytes and time.
-	remoteShare = 0.3
-	// farShare is what another region adds: its delay is some ten times that between zones, and all
-	// nodes of a region share the link there. A call goes there only once all that it could get in its
-	// own region would keep it waiting for about a service time longer.
-	farShare = 1.3
-	// farCost is farShare for back ends without gates, in calls; it is beside remoteCost.
-	farCost = 2.0
+	// otherZonePenalty is the score penalty for another zone, in service times of the fastest back end.
+	otherZonePenalty = 0.3
+	// otherRegionPenalty is the score penalty for another region, in the same unit: about one service time
+	// more than for another zone, so that calls leave a region only to avoid a wait of that length.
+	otherRegionPenalty = 1.3
+	// otherRegionLoad is added to the load of back ends without gates in other regions, in calls, on top of
+	// otherZoneLoad.
+	otherRegionLoad = 2.0
 
-	// localSubset is how many of a node's back ends are of its own zone, if there are as many.
-	localSubset = 16
-	// farSubset is how many are of each other region: enough for calls that only that region may
-	// serve, and to go on with while a node's own region has none.
-	farSubset = 3
-	// maxFarSubset is how many are of all other regions together. Where there are many regions, each has
-	// fewer, but one as long as there is room.
-	maxFarSubset = subsetSize / 2
+	// ownZoneSubset is the maximum number of back ends of the node's own zone that are selected first.
+	ownZoneSubset = 16
+	// perRegionSubset is the number of back ends from each other region: for calls restricted to that region,
+	// and for failover.
+	perRegionSubset = 3
+	// maxOtherRegionSubset bounds the back ends from all other regions together. With many regions each gets
+	// fewer, but at least one while the bound allows it.
+	maxOtherRegionSubset = subsetSize / 2
 )
 
-// far reports whether a back end is known to be in another region than the node.
-func (p *Pool) far(target routing.Endpoint) bool {
+// inOtherRegion reports whether a back end is known to be in a region other than the node's.
+func (p *Pool) inOtherRegion(target routing.Endpoint) bool {
 	return p.config.Region != "" && target.Region != "" && target.Region != p.config.Region
 }
 
-// distanceCost is what a back end's distance adds to its score, in nanoseconds.
-func (e *endpoint) distanceCost(fastest time.Duration) float64 {
+// distancePenalty returns the score penalty for another zone or region, in nanoseconds.
+func (e *endpoint) distancePenalty(fastest time.Duration) float64 {
 	switch {
-	case e.far:
-		return farShare * float64(fastest)
-	case e.remote:
-		return remoteShare * float64(fastest)
+	case e.inOtherRegion:
+		return otherRegionPenalty * float64(fastest)
+	case e.inOtherZone:
+		return otherZonePenalty * float64(fastest)
 	}
 	return 0
 }
 
-// servedNear reports whether the node's region has back ends that may take calls which only some regions
-// may serve.
-func (p *Pool) servedNear(regions []string) bool {
+// servedInOwnRegion reports whether the node's own region has a back end eligible for calls restricted to the
+// given regions.
+func (p *Pool) servedInOwnRegion(regions []string) bool {
 	for _, e := range p.endpoints {
-		if !e.far && e.eligible(regions) {
+		if !e.inOtherRegion && e.eligible(regions) {
 			return true
 		}
 	}
 	return false
 }
 
-// chooseSubset picks subsetSize of a service's back ends, which are in the node's order of preference: those
-// of its own zone up to localSubset, up to farSubset of each other region, so that one may stand in for
-// another, and for the rest those of the own region, so that a zone which fails leaves enough. What remains
-// empty, any fill.
+// chooseSubset picks subsetSize back ends of a list in the node's order of preference: up to ownZoneSubset of
+// the own zone, up to perRegionSubset of each other region for failover, then others of the own region, so that
+// enough remain when a zone fails. Any other back ends fill the remaining slots.
 func (p *Pool) chooseSubset(sorted []routing.Endpoint) []routing.Endpoint {
-	perRegion, farRoom := p.farRoom(sorted)
-	localRoom := min(localSubset, subsetSize-farRoom)
-	far := map[string]int{}
+	perRegion, otherSlots := p.otherRegionSlots(sorted)
+	ownZoneSlots := min(ownZoneSubset, subsetSize-otherSlots)
+	taken := map[string]int{}
 	chosen, rest := make([]routing.Endpoint, 0, subsetSize), make([]routing.Endpoint, 0, len(sorted))
 	for _, e := range sorted {
 		switch {
 		case unavailable(e):
 			rest = append(rest, e)
-		case e.Zone == p.config.Zone && localRoom > 0:
-			localRoom--
+		case e.Zone == p.config.Zone && ownZoneSlots > 0:
+			ownZoneSlots--
 			chosen = append(chosen, e)
-		case p.far(e) && far[e.Region] < perRegion && farRoom > 0:
-			far[e.Region]++
-			farRoom--
+		case p.inOtherRegion(e) && taken[e.Region] < perRegion && otherSlots > 0:
+			taken[e.Region]++
+			otherSlots--
 			chosen = append(chosen, e)
 		default:
 			rest = append(rest, e)
 		}
 	}
-	// The order of sorted is kept within each rank.
-	slices.SortStableFunc(rest, func(a, b routing.Endpoint) int { return p.restRank(a) - p.restRank(b) })
+	// The stable sort preserves the node's order of preference within each rank.
+	slices.SortStableFunc(rest, func(a, b routing.Endpoint) int { return p.fillRank(a) - p.fillRank(b) })
 	return append(chosen, rest[:subsetSize-len(chosen)]...)
 }
 
-// farRoom returns how many back ends of each other region a share holds, and how many of all of them.
-func (p *Pool) farRoom(all []routing.Endpoint) (perRegion, total int) {
-	open := map[string]int{}
+// otherRegionSlots returns how many back ends the subset takes from each other region, and from all of them.
+func (p *Pool) otherRegionSlots(all []routing.Endpoint) (perRegion, total int) {
+	available := map[string]int{}
 	for _, e := range all {
-		if p.far(e) && !unavailable(e) {
-			open[e.Region]++
+		if p.inOtherRegion(e) && !unavailable(e) {
+			available[e.Region]++
 		}
 	}
-	if len(open) == 0 {
+	if len(available) == 0 {
 		return 0, 0
 	}
-	perRegion = min(farSubset, max(1, maxFarSubset/len(open)))
-	for _, n := range open {
+	perRegion = min(perRegionSubset, max(1, maxOtherRegionSubset/len(available)))
+	for _, n := range available {
 		total += min(n, perRegion)
 	}
-	return perRegion, min(total, maxFarSubset)
+	return perRegion, min(total, maxOtherRegionSubset)
 }
 
-// restRank ranks what fills a node's share up: back ends that take calls before those that don't, near ones
-// before far ones.
-func (p *Pool) restRank(e routing.Endpoint) int {
+// fillRank ranks the back ends that fill the remaining slots: available before unavailable ones, then own
+// region before other regions.
+func (p *Pool) fillRank(e routing.Endpoint) int {
 	rank := 0
-	if p.far(e) {
+	if p.inOtherRegion(e) {
 		rank = 1
 	}
 	if unavailable(e) {
@@ -115,9 +113,9 @@
 	return rank
 }
 
-// FarRegion returns the back end's region if that is another one than the node's, else the empty string.
+// FarRegion returns the back end's region if it differs from the node's, otherwise the empty string.
 func (t *Ticket) FarRegion() string {
-	if !t.endpoint.far {
+	if !t.endpoint.inOtherRegion {
 		return ""
 	}
 	return t.endpoint.target.Region
--- a/pkg/balancer/distance_test.go
+++ b/pkg/balancer/distance_test.go
@@ -12,8 +12,8 @@
 	"github.com/matryer/is"
 )
 
-// regionService has n back ends in each of two zones in each of two regions.
-func regionService(n int) routing.Service {
+// multiRegionService returns a service with n back ends in each of two zones in each of two regions.
+func multiRegionService(n int) routing.Service {
 	service := routing.Service{Name: "s"}
 	for i, zone := range []string{"e1", "e2", "w1", "w2"} {
 		region := "east"
@@ -34,11 +34,11 @@
 	return p
 }
 
-// acquireAll takes back ends one after the other, none of which ever answers, and returns their regions.
-func acquireAll(p *Pool, n int, r GateRequest) map[string]int {
+// countAcquiredByRegion acquires a gate for each of n calls that stay in flight, and counts the calls by region.
+func countAcquiredByRegion(p *Pool, n int, r GateRequest) map[string]int {
 	regions := map[string]int{}
 	for _, e := range p.endpoints {
-		e.heard(0, exchange.Report{Capacity: 2, Service: 100 * time.Millisecond})
+		e.recordReport(0, exchange.Report{Capacity: 2, Service: 100 * time.Millisecond})
 	}
 	for range n {
 		ticket, _, err := p.AcquireGate(0, r)
@@ -51,60 +51,60 @@
 	return regions
 }
 
-// Calls stay in their region while it has room, and go to the other before they would wait for long.
-func TestCallsLeaveTheirRegionForWantOfRoomOnly(t *testing.T) {
+// Calls stay in their region while it has free capacity, and go to another before they would wait long.
+func TestCallsLeaveTheirRegionOnlyWithoutFreeCapacity(t *testing.T) {
 	is := is.New(t)
-	p := eastPool(regionService(3))
-	is.Equal(acquireAll(p, 12, GateRequest{})["east"], 12)
-	more := acquireAll(p, 12, GateRequest{})
+	p := eastPool(multiRegionService(3))
+	is.Equal(countAcquiredByRegion(p, 12, GateRequest{})["east"], 12)
+	more := countAcquiredByRegion(p, 12, GateRequest{})
 	is.True(more["west"] >= 6)
 }
 
-// A node that keeps a share of a large service can go on when its own region has none left, and can reach
-// each region that alone may serve a call.
-func TestShareOfALargeServiceHoldsEachRegion(t *testing.T) {
+// The subset of a large service must include each region: for calls restricted to it, and for failover when
+// the own region has no available back end.
+func TestSubsetOfALargeServiceIncludesEachRegion(t *testing.T) {
 	is := is.New(t)
-	p := eastPool(regionService(40))
+	p := eastPool(multiRegionService(40))
 	regions := map[string]int{}
 	for _, e := range p.endpoints {
 		regions[e.target.Region]++
 	}
-	is.Equal(regions["west"], farSubset)
-	is.Equal(regions["east"], subsetSize-farSubset)
-	is.Equal(acquireAll(p, 10, GateRequest{Regions: []string{"west"}})["west"], 10)
-	is.Equal(acquireAll(p, 3, GateRequest{Regions: []string{"north"}})["none"], 3)
+	is.Equal(regions["west"], perRegionSubset)
+	is.Equal(regions["east"], subsetSize-perRegionSubset)
+	is.Equal(countAcquiredByRegion(p, 10, GateRequest{Regions: []string{"west"}})["west"], 10)
+	is.Equal(countAcquiredByRegion(p, 3, GateRequest{Regions: []string{"north"}})["none"], 3)
 
-	service := regionService(40)
+	service := multiRegionService(40)
 	for i := range service.Endpoints {
 		if service.Endpoints[i].Region == "east" {
 			service.Endpoints[i].Refused = exchange.ReasonEvacuated
 		}
 	}
 	p.Update(time.Second, service)
-	is.Equal(acquireAll(p, 10, GateRequest{})["west"], 10)
-	closedOnes := 0
+	is.Equal(countAcquiredByRegion(p, 10, GateRequest{})["west"], 10)
+	unavailableCount := 0
 	for _, e := range p.endpoints {
 		if unavailable(e.target) {
-			closedOnes++
+			unavailableCount++
 		}
 	}
-	is.True(closedOnes <= localSubset) // most of the share is of use
+	is.True(unavailableCount <= ownZoneSubset) // the other slots hold available back ends
 }
 
-// Over a crowded link nothing goes that the own region may serve, full or not; what it may not serve goes.
-func TestCrowdedRegionsAreSpared(t *testing.T) {
+// Spared regions get only calls that the own region may not serve, even if the own region is saturated.
+func TestSparedRegionsGetOnlyCallsRestrictedToThem(t *testing.T) {
 	is := is.New(t)
-	p := eastPool(regionService(3))
+	p := eastPool(multiRegionService(3))
 	spared := GateRequest{Spared: []string{"west"}}
-	is.Equal(acquireAll(p, 40, spared)["east"], 40)
+	is.Equal(countAcquiredByRegion(p, 40, spared)["east"], 40)
 	spared.Regions = []string{"west"}
-	is.Equal(acquireAll(p, 5, spared)["west"], 5)
+	is.Equal(countAcquiredByRegion(p, 5, spared)["west"], 5)
 }
 
-// Back ends without gates obey regions, too.
-func TestRegionsBindWithoutGates(t *testing.T) {
+// Region restrictions also apply to back ends without gates.
+func TestRegionRestrictionsApplyWithoutGates(t *testing.T) {
 	is := is.New(t)
-	p := eastPool(regionService(3))
+	p := eastPool(multiRegionService(3))
 	now := func() time.Duration { return 0 }
 	for range 8 {
 		ticket, err := p.Acquire(nil, now, 0, nil, []string{"west"})
@@ -115,9 +115,9 @@
 	is.Equal(err, ErrNoEndpoint)
 }
 
-// However many regions there are, a share has its size, holds back ends of each region that it has room
-// for, and keeps at least half of them in the node's own zone.
-func TestShareOfALargeServiceInManyRegions(t *testing.T) {
+// With any number of regions the subset has its full size, includes as many regions as fit, and takes at
+// least half of its back ends from the node's own zone.
+func TestSubsetOfALargeServiceInManyRegions(t *testing.T) {
 	for _, others := range []int{2, 3, 4, 5, 8, 12, 30} {
 		t.Run(fmt.Sprint(others), func(t *testing.T) {
 			is := is.New(t)
@@ -139,9 +139,9 @@
 				own = own || e.target.ID == "r0-7"
 			}
 			is.True(own)
-			if others <= maxFarSubset {
+			if others <= maxOtherRegionSubset {
 				is.Equal(len(regions), others+1)
-				is.True(regions["r0"] >= subsetSize-maxFarSubset)
+				is.True(regions["r0"] >= subsetSize-maxOtherRegionSubset)
 			}
 		})
 	}
--- a/pkg/balancer/doc.go
+++ b/pkg/balancer/doc.go
@@ -1,10 +1,12 @@
-// Package balancer decides which back end takes a call and when no one should. It does
-// no I/O; callers pass the current time.
+// Package balancer selects a back end for each call, or returns an error if none may take it. It does no
+// I/O; callers pass the current time.
 //
-// What the node sees itself (calls under way, answers, refusals, broken connections)
-// decides; what a back end reports of its load only tips a balance, because it lags or
-// misleads. Choice is the better of two at random. A back end that refuses loses part
-// of its limit, one that keeps failing is left out for a while, but never so many that
-// too few remain. A new back end is ramped up. One that leaves, by whatever signal
-// comes first, takes no new call and has no way back without a new incarnation.
+// The node's own observations (calls in flight, responses, refusals, connection failures) carry the most
+// weight. The load that a back end reports only adjusts its score, because it is delayed and may be wrong.
+// Among back ends without gates the better of two random candidates is chosen; with gates, the one with
+// the lowest expected completion time.
+//
+// A refusal lowers the back end's concurrency limit, and repeated failures eject it for a while, unless too
+// few back ends would remain. New back ends ramp up gradually. A back end marked as leaving gets no further
+// calls until it returns with a higher incarnation.
 package balancer
--- a/pkg/balancer/endpoint.go
+++ b/pkg/balancer/endpoint.go
@@ -7,52 +7,53 @@
 	"bramblelift/pkg/routing"
 )
 
-// Tuning of the balancer.
+// Parameters of the choice among back ends without gates.
 const (
-	// DefaultConcurrency is the limit of a back end for which the bundle sets none.
+	// DefaultConcurrency is the limit on calls in flight to a back end if the bundle sets none.
 	DefaultConcurrency = 64
 	minLimit           = 1.0
-	// refusalFactor shrinks the limit at a refusal, and growth by 1/limit an answer
-	// restores it: additive increase, multiplicative decrease.
+	// refusalFactor reduces the limit at each refusal; each response adds 1/limit (additive increase,
+	// multiplicative decrease).
 	refusalFactor = 0.7
-	// failuresToEject in a row leave a back end out for ejectionBase, doubling.
+	// failuresToEject consecutive failures eject a back end for ejectionBase, which doubles at each
+	// further ejection up to maxEjection.
 	failuresToEject = 3
 	ejectionBase    = 500 * time.Millisecond
 	maxEjection     = 15 * time.Second
-	// panicThreshold: if fewer than this share would remain, nobody is left out.
+	// panicThreshold is the fraction of usable back ends below which ejections are ignored.
 	panicThreshold = 0.5
-	// rampTime is how long a new back end takes to get a full share, from
-	// rampStart of one.
+	// rampTime is the time in which the weight of a new back end grows from rampStart to 1.
 	rampTime  = 5 * time.Second
 	rampStart = 0.2
-	// remoteCost is added to the score of back ends in other zones, in calls.
-	remoteCost = 0.5
-	// reportedWeight is how much a fully loaded report adds to the score.
-	reportedWeight = 0.5
+	// otherZoneLoad is added to the load of back ends in other zones, in calls.
+	otherZoneLoad = 0.5
+	// reportedLoadWeight is the number of calls that a reported load of 1 adds to the load.
+	reportedLoadWeight = 0.5
 )
 
-// endpoint is what the pool knows of one back end.
+// endpoint is the pool's state for one back end.
 type endpoint struct {
-	target    routing.Endpoint
-	joinedAt  time.Duration
-	ramped    bool
-	inFlight  int
-	limit     float64
-	maxLimit  float64
-	failures  int
-	ejections int
-	ejectedTo time.Duration
-	reported  float64
-	// leaving is set by the first signal of whatever kind and never unset.
+	target       routing.Endpoint
+	addedAt      time.Duration
+	ramped       bool
+	inFlight     int
+	limit        float64
+	maxLimit     float64
+	failures     int
+	ejections    int
+	ejectedUntil time.Duration
+	// reportedLoad is the load that the back end reported itself, from 0 to 1.
+	reportedLoad float64
+	// leaving is set by the first signal that the back end leaves and never reset.
 	leaving bool
-	// gate is what the back end's gate said last.
-	gate gateView
-	link linkView
-	// remote back ends are of another zone, far ones of another region.
-	remote, far bool
+	// gate and link are the last states that the back end's gate reported.
+	gate gateState
+	link linkState
+	// inOtherZone and inOtherRegion say that the back end's zone or region differs from the node's.
+	inOtherZone, inOtherRegion bool
 }
 
-// eligible reports whether the back end may take a call at all that only some regions may serve.
+// eligible reports whether the back end may take a call restricted to the given regions (empty means all).
 func (e *endpoint) eligible(regions []string) bool {
 	if e.leaving || e.target.Refused != "" {
 		return false
@@ -60,17 +61,19 @@
 	return len(regions) == 0 || slices.Contains(regions, e.target.Region)
 }
 
+// usable reports whether the back end is neither leaving nor ejected.
 func (e *endpoint) usable(now time.Duration) bool {
-	return !e.leaving && now >= e.ejectedTo
+	return !e.leaving && now >= e.ejectedUntil
 }
 
-func (e *endpoint) free() bool {
+// hasFreeSlot reports whether one more call stays within the concurrency limit.
+func (e *endpoint) hasFreeSlot() bool {
 	return float64(e.inFlight)+1 <= e.limit
 }
 
-// weight is the share of calls the back end should get while it warms up.
+// weight returns the back end's relative share of calls: below 1 while a new back end ramps up.
 func (e *endpoint) weight(now time.Duration) float64 {
-	age := now - e.joinedAt
+	age := now - e.addedAt
 	if e.ramped || age >= rampTime {
 		e.ramped = true
 		return 1
@@ -78,29 +81,32 @@
 	return rampStart + (1-rampStart)*float64(age)/float64(rampTime)
 }
 
-// score is the load by which back ends are compared; less is better.
+// score returns the weighted load by which back ends are compared; lower is better.
 func (e *endpoint) score(now time.Duration) float64 {
-	load := float64(e.inFlight) + 1 + e.reported*reportedWeight
-	if e.remote {
-		load += remoteCost
+	load := float64(e.inFlight) + 1 + e.reportedLoad*reportedLoadWeight
+	if e.inOtherZone {
+		load += otherZoneLoad
 	}
-	if e.far {
-		load += farCost
+	if e.inOtherRegion {
+		load += otherRegionLoad
 	}
 	return load / e.weight(now)
 }
 
-func (e *endpoint) answered() {
+// recordResponse resets the failure counts and raises the limit.
+func (e *endpoint) recordResponse() {
 	e.failures = 0
 	e.ejections = 0
 	e.limit = min(e.maxLimit, e.limit+1/e.limit)
 }
 
-func (e *endpoint) refused() {
+// recordRefusal lowers the limit.
+func (e *endpoint) recordRefusal() {
 	e.limit = max(minLimit, e.limit*refusalFactor)
 }
 
-func (e *endpoint) failed(now time.Duration) {
+// recordFailure counts a failure and ejects the back end after failuresToEject consecutive ones.
+func (e *endpoint) recordFailure(now time.Duration) {
 	e.failures++
 	if e.failures < failuresToEject {
 		return
@@ -108,5 +114,5 @@
 	e.failures = 0
 	pause := min(maxEjection, ejectionBase<<min(e.ejections, 10))
 	e.ejections++
-	e.ejectedTo = now + pause
+	e.ejectedUntil = now + pause
 }
--- a/pkg/balancer/failing.go
+++ b/pkg/balancer/failure_rate.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// MeanFailing is the share of calls that the back ends fail or decline, over all of which it was
-// heard, from 0 to 1; zero if nothing was heard.
+// MeanFailing returns the mean failure rate (calls failed or rejected, 0 to 1) over all back ends whose
+// gates have reported; zero if none has.
 func (p *Pool) MeanFailing(now time.Duration) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	sum, count := 0.0, 0
 	for _, e := range p.endpoints {
 		if e.gate.reported && !e.leaving {
-			sum += e.failing(now)
+			sum += e.failureRate(now)
 			count++
 		}
 	}
--- a/pkg/balancer/gated.go
+++ b/pkg/balancer/gated.go
@@ -8,37 +8,35 @@
 	"bramblelift/pkg/exchange"
 )
 
-// Tuning of the choice between gates.
+// Parameters of the choice among gates.
 const (
-	// loadShare is what a fully used back end adds, in its own service times: many slow
+	// loadPenalty is the score penalty for a fully loaded back end, in its own service times: many slow
 	// down before they are full.
-	loadShare = 0.5
-	// scoreJitter spreads choices between gates of nearly equal score, so that nodes
-	// which heard the same reports don't all go to the same one.
+	loadPenalty = 0.5
+	// scoreJitter is the relative random addition to a score, so that nodes with the same reports don't
+	// all choose the same gate.
 	scoreJitter = 0.15
-	// reportMemory is after how long a report says nothing of the load any more.
-	reportMemory = 500 * time.Millisecond
-	// failureCost is what a certain failure of the call adds to a score, in service times
-	// of the fastest back end: one that may be repeated costs another attempt, any other is
-	// lost to its caller.
-	failureCost         = 20.0
-	failureCostRepeated = 6.0
-	// failingMemory is after how long a report of failures counts half: a back end that
-	// gets no calls for them must be tried again.
-	failingMemory = 2 * time.Second
-	// maxOwnFailing is up to which share of failed calls the back end beside the node is
-	// preferred.
-	maxOwnFailing = 0.05
-	// assumedCapacity is used until a gate or the endpoint tells.
-	assumedCapacity = 8
+	// reportMaxAge is the age above which the load in a report is ignored.
+	reportMaxAge = 500 * time.Millisecond
+	// failureCost is the score penalty for a failure rate of 1, in service times of the fastest back end.
+	// A repeatable call costs one more attempt; any other is lost.
+	failureCost           = 20.0
+	failureCostRepeatable = 6.0
+	// failureHalfLife is the half-life of a reported failure rate, so that a back end without calls is
+	// eventually chosen again.
+	failureHalfLife = 2 * time.Second
+	// maxOwnGateFailureRate is the failure rate up to which the back end beside the node is preferred.
+	maxOwnGateFailureRate = 0.05
+	// defaultCapacity is used until a gate report or the endpoint list gives a capacity.
+	defaultCapacity = 8
 )
 
-// gateView is a gate as its last report and this node's own calls show it.
-type gateView struct {
+// gateState is a gate's last report and the calls that this node has sent since.
+type gateState struct {
 	report   exchange.Report
 	at       time.Duration
 	reported bool
-	// sent counts the calls sent there since the report.
+	// sent counts the calls sent to the gate since the report.
 	sent int
 }
 
@@ -49,92 +47,91 @@
 	return len(p.endpoints) == 0 || p.endpoints[0].target.Gate != ""
 }
 
-// GateRequest is what the choice of a gate must know of a call.
+// GateRequest holds the properties of a call that the choice of a gate depends on.
 type GateRequest struct {
-	// LeftOut are back ends that must not be chosen.
+	// LeftOut lists the IDs of back ends that must not be chosen.
 	LeftOut []string
-	// Regions are the only ones that may serve the call; empty means all.
+	// Regions lists the regions that may serve the call; empty means all.
 	Regions []string
-	// Spared are other regions whose back ends are left out, if the own one has any that may serve the
-	// call: the link there is crowded.
+	// Spared lists other regions to avoid, because the link to them is congested, if the own region has a
+	// back end that may serve the call.
 	Spared []string
-	// LocalWait is for how long the call may wait at a gate of the node's own zone while
-	// another zone might take it at once: bytes between zones cost.
+	// LocalWait is how long the call may wait at a gate of the node's own zone before another zone is
+	// considered.
 	LocalWait time.Duration
-	// AskLocal lets the gates of the own zone decide whether the wait is too long: they
-	// know the ranks of those that wait. It is for calls that cost much elsewhere.
+	// AskLocal skips the node's estimate of the wait and leaves the decision to the gates of the own zone,
+	// which know the priorities in their queues. It is for calls that are expensive in other zones.
 	AskLocal bool
-	// Patience is for how long it may wait where nobody takes it at once.
+	// Patience is how long the call may wait if no gate admits it immediately.
 	Patience time.Duration
-	// LargeAnswer is set if the answer is expected to be large: back ends whose link is full are
-	// passed over while others have room.
+	// LargeAnswer is set if the response is expected to be large; the score then includes the wait for the
+	// gate's link.
 	LargeAnswer bool
-	// Repeatable is set if another back end may run the call after one that failed.
+	// Repeatable is set if a failed call may run again at another back end.
 	Repeatable bool
-	// OwnWork is up to which service time the back end beside the node is preferred to all
-	// others; zero for not at all. Its load is known exactly, and the call takes no further
-	// hop.
+	// OwnWork is the service time up to which the back end beside the node is preferred to all others;
+	// zero means never. The call takes no further hop there.
 	OwnWork time.Duration
-	// OwnWait is for how long it may wait there, zero for not at all.
+	// OwnWait is how long the call may wait at the gate beside the node; zero means not at all.
 	OwnWait time.Duration
-	// FreeWork, if not zero, prefers back ends that are known to have a free slot and whose
-	// service time is no more than that, wherever they are and however much slower than others.
+	// FreeWork, if not zero, is the service time up to which back ends known to have a free slot are
+	// preferred, regardless of zone and of faster back ends.
 	FreeWork time.Duration
-	// Version is which side of a rollout the call goes to.
+	// Version selects the side of a rollout that the call goes to.
 	Version VersionChoice
 }
 
-// failureCost is what a certain failure of the call adds to a score, in service times.
+// failureCost returns the score penalty for a failure rate of 1, in service times of the fastest back end.
 func (r GateRequest) failureCost() float64 {
 	if r.Repeatable {
-		return failureCostRepeated
+		return failureCostRepeatable
 	}
 	return failureCost
 }
 
-// AcquireGate picks a gate: one of the own zone if the call will not wait there for longer
-// than LocalWait, or else the one at which it is expected to be done first. It returns how
-// long the call may wait there before the gate must refuse it.
+// AcquireGate picks a gate: one of the own zone if the expected wait is at most LocalWait, otherwise the one
+// with the lowest expected completion time. It also returns how long the call may wait at the gate. The
+// error wraps ErrNoEndpoint or is a *ColdError.
 func (p *Pool) AcquireGate(now time.Duration, r GateRequest) (*Ticket, time.Duration, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	candidates := p.candidates(now, r.LeftOut, r.Regions)
-	if len(r.Spared) > 0 && p.servedNear(r.Regions) {
+	if len(r.Spared) > 0 && p.servedInOwnRegion(r.Regions) {
 		candidates = slices.DeleteFunc(candidates, func(e *endpoint) bool { return slices.Contains(r.Spared, e.target.Region) })
 	}
 	if len(candidates) == 0 {
-		return nil, 0, p.noEndpoint()
+		return nil, 0, p.noEndpointError()
 	}
-	candidates, err := withColdRoom(candidates, now, r.Patience)
+	candidates, err := excludeSaturatedCold(candidates, now, r.Patience)
 	if err != nil {
 		return nil, 0, err
 	}
 	candidates = r.Version.prefer(candidates)
 	if own := p.ownGate(candidates, now, r.OwnWork); own != nil {
-		return p.acquired(own), r.OwnWait, nil
+		return p.issueTicket(own), r.OwnWait, nil
 	}
-	rating := gateRating{now: now, fastest: fastestService(candidates), failureCost: r.failureCost(), largeAnswer: r.LargeAnswer}
-	if free := p.freeGate(candidates, rating, r.FreeWork); free != nil {
-		return p.acquired(free), r.Patience, nil
+	params := scoreParams{now: now, fastest: minServiceTime(candidates), failureCost: r.failureCost(), largeAnswer: r.LargeAnswer}
+	if free := p.bestFreeGate(candidates, params, r.FreeWork); free != nil {
+		return p.issueTicket(free), r.Patience, nil
 	}
-	local := slices.DeleteFunc(slices.Clone(candidates), func(e *endpoint) bool { return !r.staysLocal(e, rating) })
+	local := slices.DeleteFunc(slices.Clone(candidates), func(e *endpoint) bool { return !r.prefersLocal(e, params) })
 	wait := r.LocalWait
-	best := p.bestGate(local, rating)
+	best := p.bestGate(local, params)
 	if best == nil {
-		best = p.bestGate(candidates, rating)
+		best = p.bestGate(candidates, params)
 		wait = 0
 		if best.gateLoad(now) >= best.gateCapacity() {
 			wait = r.Patience
 		}
 	}
-	if best.coldLeft(now) > 0 {
+	if best.coldRemaining(now) > 0 {
 		wait = r.Patience
 	}
-	return p.acquired(best), wait, nil
+	return p.issueTicket(best), wait, nil
 }
 
-// acquired notes a call on its way to a gate.
-func (p *Pool) acquired(e *endpoint) *Ticket {
+// issueTicket counts a call in flight to a gate and returns its ticket.
+func (p *Pool) issueTicket(e *endpoint) *Ticket {
 	e.inFlight++
 	e.gate.sent++
 	return &Ticket{
@@ -143,48 +140,48 @@
 	}
 }
 
-// ownGate returns the back end beside the node if it is a candidate, fails few calls and
-// takes no longer for one than work; otherwise nil.
-func (p *Pool) ownGate(candidates []*endpoint, now, work time.Duration) *endpoint {
-	if p.config.OwnGate == "" || work <= 0 {
+// ownGate returns the back end beside the node if it is a candidate, has a low failure rate and a service
+// time of at most maxService; otherwise nil.
+func (p *Pool) ownGate(candidates []*endpoint, now, maxService time.Duration) *endpoint {
+	if p.config.OwnGate == "" || maxService <= 0 {
 		return nil
 	}
 	for _, e := range candidates {
-		if e.target.Gate == p.config.OwnGate && e.takesOwn(now, work) {
+		if e.target.Gate == p.config.OwnGate && e.preferredAsOwnGate(now, maxService) {
 			return e
 		}
 	}
 	return nil
 }
 
-// takesOwn reports whether the back end beside the node is good enough to be preferred.
-func (e *endpoint) takesOwn(now, work time.Duration) bool {
-	service := time.Duration(e.slowness(now) * float64(e.gate.report.Service))
-	return service <= work && e.failing(now) <= maxOwnFailing && e.coldWait(now) == 0
+// preferredAsOwnGate reports whether the back end beside the node is fast and reliable enough to be preferred.
+func (e *endpoint) preferredAsOwnGate(now, maxService time.Duration) bool {
+	service := time.Duration(e.serviceFactor(now) * float64(e.gate.report.Service))
+	return service <= maxService && e.failureRate(now) <= maxOwnGateFailureRate && e.coldWait(now) == 0
 }
 
-// freeGate returns the best of the candidates that lately said that they have a free slot, nil if
-// none did.
-func (p *Pool) freeGate(candidates []*endpoint, rating gateRating, work time.Duration) *endpoint {
-	if work <= 0 {
+// bestFreeGate returns the best candidate whose recent report shows a free slot and a service time of at most
+// maxService; nil if there is none.
+func (p *Pool) bestFreeGate(candidates []*endpoint, params scoreParams, maxService time.Duration) *endpoint {
+	if maxService <= 0 {
 		return nil
 	}
 	free := slices.DeleteFunc(slices.Clone(candidates), func(e *endpoint) bool {
-		known := e.gate.reported && rating.now-e.gate.at <= reportMemory
-		if rating.largeAnswer && e.linkWait(rating.now) > e.gate.report.Service {
+		recent := e.gate.reported && params.now-e.gate.at <= reportMaxAge
+		if params.largeAnswer && e.linkWait(params.now) > e.gate.report.Service {
 			return true
 		}
-		return !known || e.gateLoad(rating.now) >= e.gateCapacity() || e.gate.report.Service > work || e.coldLeft(rating.now) > 0
+		return !recent || e.gateLoad(params.now) >= e.gateCapacity() || e.gate.report.Service > maxService || e.coldRemaining(params.now) > 0
 	})
-	return p.bestGate(free, rating)
+	return p.bestGate(free, params)
 }
 
-// bestGate returns the candidate of the least score, nil if there is none.
-func (p *Pool) bestGate(candidates []*endpoint, rating gateRating) *endpoint {
+// bestGate returns the candidate with the lowest jittered score, nil if there is none.
+func (p *Pool) bestGate(candidates []*endpoint, params scoreParams) *endpoint {
 	var best *endpoint
 	bestScore := 0.0
 	for _, e := range candidates {
-		score := e.gateScore(rating) * (1 + scoreJitter*float64(p.config.Random(1000))/1000)
+		score := e.gateScore(params) * (1 + scoreJitter*float64(p.config.Random(1000))/1000)
 		if best == nil || score < bestScore {
 			best, bestScore = e, score
 		}
@@ -192,15 +189,15 @@
 	return best
 }
 
-// gateWait estimates how long a call would wait at the gate.
-func (e *endpoint) gateWait(now time.Duration) time.Duration {
-	over := e.gateLoad(now) + 1 - e.gateCapacity()
-	full := time.Duration(max(0, over)) * e.gate.report.Service / time.Duration(e.gateCapacity())
-	return max(full, e.coldWait(now))
+// slotWait estimates how long a call waits for a slot at the gate.
+func (e *endpoint) slotWait(now time.Duration) time.Duration {
+	queued := e.gateLoad(now) + 1 - e.gateCapacity()
+	wait := time.Duration(max(0, queued)) * e.gate.report.Service / time.Duration(e.gateCapacity())
+	return max(wait, e.coldWait(now))
 }
 
-// fastestService is the least service time among back ends, zero if none is known.
-func fastestService(candidates []*endpoint) time.Duration {
+// minServiceTime returns the shortest reported service time among the candidates, zero if none is known.
+func minServiceTime(candidates []*endpoint) time.Duration {
 	var fastest time.Duration
 	for _, e := range candidates {
 		service := e.gate.report.Service
@@ -211,7 +208,7 @@
 	return fastest
 }
 
-// MeanService is the mean of how long calls take at the back ends, zero if it is not known.
+// MeanService returns the mean of the service times that the gates report, zero if none is known.
 func (p *Pool) MeanService() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -229,6 +226,7 @@
 	return sum / count
 }
 
+// gateCapacity returns how many calls the back end runs concurrently.
 func (e *endpoint) gateCapacity() int {
 	switch {
 	case e.gate.reported:
@@ -236,108 +234,108 @@
 	case e.target.Capacity > 0:
 		return e.target.Capacity
 	}
-	return assumedCapacity
+	return defaultCapacity
 }
 
-// gateLoad estimates how many calls are at work or wait at the gate.
+// gateLoad estimates how many calls are running or queued at the gate.
 func (e *endpoint) gateLoad(now time.Duration) int {
-	if !e.gate.reported || now-e.gate.at > reportMemory {
+	if !e.gate.reported || now-e.gate.at > reportMaxAge {
 		return e.inFlight
 	}
 	return max(e.inFlight, e.gate.report.Running+e.gate.report.Queued+e.gate.sent)
 }
 
-// gateRating is what all gates are rated by for one call.
-type gateRating struct {
+// scoreParams holds the inputs of gateScore that are the same for all candidates of one call.
+type scoreParams struct {
 	now time.Duration
-	// fastest is the least service time of the candidates.
+	// fastest is the shortest service time of the candidates.
 	fastest     time.Duration
 	failureCost float64
 	largeAnswer bool
 }
 
-// staysLocal reports whether a back end is of the node's own zone and good enough to be
-// preferred for it.
-func (r GateRequest) staysLocal(e *endpoint, rating gateRating) bool {
-	if e.remote {
+// prefersLocal reports whether a back end is in the node's own zone and its failure rate and expected wait are
+// low enough to prefer it to other zones. AskLocal skips the check of the wait.
+func (r GateRequest) prefersLocal(e *endpoint, params scoreParams) bool {
+	if e.inOtherZone {
 		return false
 	}
-	risk := e.failureRisk(rating)
-	if risk > remoteShare*float64(rating.fastest) && risk > float64(r.LocalWait) {
+	penalty := e.failurePenalty(params)
+	if penalty > otherZonePenalty*float64(params.fastest) && penalty > float64(r.LocalWait) {
 		return false
 	}
-	return r.AskLocal || e.roomWait(rating) <= r.LocalWait
+	return r.AskLocal || e.expectedWait(params) <= r.LocalWait
 }
 
-// failureRisk is what the back end's failures add to its score.
-func (e *endpoint) failureRisk(rating gateRating) float64 {
-	return e.failing(rating.now) * rating.failureCost * float64(rating.fastest)
+// failurePenalty returns the score penalty for the back end's failure rate, in nanoseconds.
+func (e *endpoint) failurePenalty(params scoreParams) float64 {
+	return e.failureRate(params.now) * params.failureCost * float64(params.fastest)
 }
 
-// failing is the share of calls that the back end is expected to fail.
-func (e *endpoint) failing(now time.Duration) float64 {
+// failureRate returns the reported failure rate, decayed by the age of the report.
+func (e *endpoint) failureRate(now time.Duration) float64 {
 	if e.gate.report.Failing == 0 {
 		return 0
 	}
-	return e.gate.report.Failing * clock.Kept(now-e.gate.at, failingMemory)
+	return e.gate.report.Failing * clock.Kept(now-e.gate.at, failureHalfLife)
 }
 
-// gateScore is about how long a call takes at the gate, with its wait and what its failure
-// would cost; less is better.
-func (e *endpoint) gateScore(rating gateRating) float64 {
-	now, fastest := rating.now, rating.fastest
+// gateScore estimates the time a call takes at the gate, in nanoseconds: wait, service time, and penalties for
+// distance and failures. Lower is better.
+func (e *endpoint) gateScore(params scoreParams) float64 {
+	now, fastest := params.now, params.fastest
 	service := float64(e.gate.report.Service)
 	if service == 0 {
 		service = max(1, float64(fastest))
 	}
-	share := float64(e.gateLoad(now)) / float64(e.gateCapacity())
-	service *= e.slowness(now)
-	score := float64(e.roomWait(rating)) + service*(1+loadShare*share)
-	score += e.distanceCost(fastest)
-	score += e.failureRisk(rating)
+	utilization := float64(e.gateLoad(now)) / float64(e.gateCapacity())
+	service *= e.serviceFactor(now)
+	score := float64(e.expectedWait(params)) + service*(1+loadPenalty*utilization)
+	score += e.distancePenalty(fastest)
+	score += e.failurePenalty(params)
 	return score / e.weight(now)
 }
 
-// heard takes in the newest report of the back end's gate.
-func (e *endpoint) heard(now time.Duration, report exchange.Report) {
-	e.gate = gateView{report: report, at: now, reported: true}
+// recordReport stores the newest report of the back end's gate.
+func (e *endpoint) recordReport(now time.Duration, report exchange.Report) {
+	e.gate = gateState{report: report, at: now, reported: true}
 }
 
-// ReportGate takes in a gate's report.
+// ReportGate stores the report that came with a gate's response, including the wait for its link.
 func (t *Ticket) ReportGate(now time.Duration, report exchange.Report) {
 	t.pool.mu.Lock()
 	defer t.pool.mu.Unlock()
-	t.endpoint.heard(now, report)
-	t.endpoint.link = linkView{wait: report.LinkWait, at: now}
+	t.endpoint.recordReport(now, report)
+	t.endpoint.link = linkState{wait: report.LinkWait, at: now}
 }
 
-// HearOf takes in a report of a back end that did not come with an answer. One that the pool does
-// not have is passed over: it may belong to another node's subset.
+// HearOf stores a back end's report that arrived without a response. It ignores back ends outside the pool:
+// they may belong to another node's subset.
 func (p *Pool) HearOf(now time.Duration, sender exchange.Sender) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, e := range p.endpoints {
 		if e.target.ID == sender.ID {
-			e.heard(now, sender.Report)
+			e.recordReport(now, sender.Report)
 		}
 	}
 }
 
-// Avoid leaves the back end out for a while, unless too few would remain.
+// Avoid ejects the back end for at least pause, unless too few would remain.
 func (t *Ticket) Avoid(now, pause time.Duration) {
 	t.pool.mu.Lock()
 	defer t.pool.mu.Unlock()
-	t.endpoint.ejectedTo = max(t.endpoint.ejectedTo, now+pause)
+	t.endpoint.ejectedUntil = max(t.endpoint.ejectedUntil, now+pause)
 }
 
-// Leave takes in that the back end has left for good.
+// Leave marks this incarnation of the back end as leaving.
 func (t *Ticket) Leave() {
 	t.pool.mu.Lock()
 	defer t.pool.mu.Unlock()
-	t.pool.leave(t.endpoint)
+	t.pool.markLeaving(t.endpoint)
 }
 
-// LeftOut returns a list with one more back end.
+// LeftOut returns list with the ticket's back end added, if it is not in it.
 func (t *Ticket) LeftOut(list []string) []string {
 	if slices.Contains(list, t.ID) {
 		return list
--- a/pkg/balancer/gated_test.go
+++ b/pkg/balancer/gated_test.go
@@ -11,27 +11,27 @@
 	"github.com/matryer/is"
 )
 
-// The back end beside the node is asked first, as long as it is worth it.
-func TestOwnGateGoesFirst(t *testing.T) {
+// The back end beside the node is preferred unless it is excluded, too slow or failing.
+func TestOwnGateIsPreferred(t *testing.T) {
 	is := is.New(t)
-	const work = 20 * time.Millisecond
+	const maxService = 20 * time.Millisecond
 	pool := func() *Pool {
 		p := gatedPool(t, []string{"z", "z", "other"}, nil)
 		p.config.OwnGate = p.endpoints[1].target.Gate
-		p.endpoints[1].gate.report.Running = 4 // what was reported is old: the gate itself knows
+		p.endpoints[1].gate.report.Running = 4 // the reported load must not matter
 		return p
 	}
-	is.Equal(chosen(t, pool(), 0, 5, GateRequest{OwnWork: work})["b"], 5)
-	is.Equal(chosen(t, pool(), 0, 1, GateRequest{})["a"], 1)
-	is.Equal(chosen(t, pool(), 0, 1, GateRequest{OwnWork: work, LeftOut: []string{"b"}})["a"], 1)
-	is.Equal(chosen(t, pool(), 0, 1, GateRequest{OwnWork: 9 * time.Millisecond})["a"], 1) // too slow for the call
+	is.Equal(countAcquired(t, pool(), 0, 5, GateRequest{OwnWork: maxService})["b"], 5)
+	is.Equal(countAcquired(t, pool(), 0, 1, GateRequest{})["a"], 1)
+	is.Equal(countAcquired(t, pool(), 0, 1, GateRequest{OwnWork: maxService, LeftOut: []string{"b"}})["a"], 1)
+	is.Equal(countAcquired(t, pool(), 0, 1, GateRequest{OwnWork: 9 * time.Millisecond})["a"], 1) // too slow for the call
 	failing := pool()
 	failing.endpoints[1].gate.report.Failing = 0.2
-	is.Equal(chosen(t, failing, 0, 1, GateRequest{OwnWork: work})["a"], 1)
+	is.Equal(countAcquired(t, failing, 0, 1, GateRequest{OwnWork: maxService})["a"], 1)
 }
 
-// A node's subset of a large service holds the back end beside it, whatever the hashes say.
-func TestSubsetHoldsTheOwnGate(t *testing.T) {
+// The subset of a large service must always include the back end beside the node.
+func TestSubsetIncludesTheOwnGate(t *testing.T) {
 	is := is.New(t)
 	service := routing.Service{Name: "s"}
 	for i := range 4 * subsetSize {
@@ -43,21 +43,21 @@
 		p := NewPool(Config{Node: "n", Zone: "z", OwnGate: service.Endpoints[i].Gate, Random: func(int) int { return 0 }})
 		p.Update(0, service)
 		is.Equal(len(p.endpoints), subsetSize)
-		is.Equal(chosen(t, p, 0, 1, GateRequest{OwnWork: time.Second})[service.Endpoints[i].ID], 1)
+		is.Equal(countAcquired(t, p, 0, 1, GateRequest{OwnWork: time.Second})[service.Endpoints[i].ID], 1)
 	}
 }
 
-// A back end that joins gets calls at once: it is taken for as fast as the fastest one.
-func TestBackEndThatJoinsGetsCalls(t *testing.T) {
+// A back end without a report gets calls: its service time is assumed to be the shortest known one.
+func TestBackEndWithoutReportGetsCalls(t *testing.T) {
 	is := is.New(t)
 	p := gatedPool(t, []string{"z", "z", "z"}, nil)
-	p.endpoints[2].gate = gateView{} // nothing was heard of it yet
-	is.True(chosen(t, p, 0, 9, GateRequest{LocalWait: time.Second})["c"] >= 2)
+	p.endpoints[2].gate = gateState{} // no report yet
+	is.True(countAcquired(t, p, 0, 9, GateRequest{LocalWait: time.Second})["c"] >= 2)
 }
 
-// While calls are refused a slot that is known to be free goes before a faster back end, unless the
-// call would be late there.
-func TestFreeSlotGoesBeforeAFasterBackEnd(t *testing.T) {
+// With FreeWork, a back end with a known free slot is preferred to a faster one, unless its service time
+// exceeds FreeWork or its report is old.
+func TestFreeSlotIsPreferredToAFasterBackEnd(t *testing.T) {
 	is := is.New(t)
 	const now = time.Second
 	pool := func() *Pool {
@@ -70,9 +70,9 @@
 		return p
 	}
 	request := GateRequest{LocalWait: time.Second, FreeWork: 400 * time.Millisecond}
-	is.Equal(chosen(t, pool(), now, 1, request)["c"], 1)
+	is.Equal(countAcquired(t, pool(), now, 1, request)["c"], 1)
 	request.FreeWork = 200 * time.Millisecond
-	is.Equal(chosen(t, pool(), now, 1, request)["c"], 0)
+	is.Equal(countAcquired(t, pool(), now, 1, request)["c"], 0)
 	request.FreeWork = 400 * time.Millisecond
-	is.Equal(chosen(t, pool(), now+2*reportMemory, 1, request)["c"], 0) // that was too long ago
+	is.Equal(countAcquired(t, pool(), now+2*reportMaxAge, 1, request)["c"], 0) // the report is too old
 }
--- a/pkg/balancer/room_test.go
+++ b/pkg/balancer/link_wait_test.go
@@ -10,8 +10,8 @@
 	"github.com/matryer/is"
 )
 
-// linkPool is a pool of gated back ends of which the first one's link is taken for so long.
-func linkPool(wait time.Duration, count int) *Pool {
+// poolWithBusyLink returns a pool of gated back ends; the first one reports the given wait for its link.
+func poolWithBusyLink(wait time.Duration, count int) *Pool {
 	p := NewPool(Config{Node: "n", Zone: "own", Random: func(int) int { return 0 }})
 	var endpoints []routing.Endpoint
 	for i := range count {
@@ -30,11 +30,11 @@
 	return p
 }
 
-// A back end whose link is full is passed over for large answers until the link is free again; small
-// ones go there all the same.
-func TestBackendWithFullLinkIsPassedOverForLargeAnswers(t *testing.T) {
+// A back end with a busy link is not chosen for large responses until the link is free; small ones still
+// go there.
+func TestBackEndWithBusyLinkIsNotChosenForLargeResponses(t *testing.T) {
 	is := is.New(t)
-	p := linkPool(time.Second, 2)
+	p := poolWithBusyLink(time.Second, 2)
 	first := p.endpoints[0].target.ID
 	choose := func(now time.Duration, large bool) string {
 		ticket, _, err := p.AcquireGate(now, GateRequest{Patience: time.Second, LargeAnswer: large, LocalWait: time.Second, Repeatable: true})
@@ -44,7 +44,7 @@
 	}
 	is.Equal(choose(0, false), first)
 	is.True(choose(0, true) != first)
-	is.Equal(choose(950*time.Millisecond, true), first) // what was on the link has been sent
+	is.Equal(choose(950*time.Millisecond, true), first) // the link is nearly free
 	p.HearOf(0, exchange.Sender{ID: first, Report: exchange.Report{Capacity: 8, Service: 100 * time.Millisecond}})
-	is.True(choose(0, true) != first) // a free slot is no free link
+	is.True(choose(0, true) != first) // a report without a response leaves the link's wait unchanged
 }
--- a/pkg/balancer/pool.go
+++ b/pkg/balancer/pool.go
@@ -11,41 +11,40 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Errors of Acquire. In both cases no back end has seen the call.
+// Errors of Acquire and AcquireGate. No back end has seen the call.
 var (
-	// ErrNoEndpoint: the service has no back end that takes calls.
+	// ErrNoEndpoint means that the service has no back end that may take the call.
 	ErrNoEndpoint = errors.New("no back end takes calls")
-	// ErrSaturated: every back end is at its limit.
+	// ErrSaturated means that every back end is at its concurrency limit.
 	ErrSaturated = errors.New("all back ends are at their limit")
 )
 
-// subsetSize is how many back ends of a large service one node uses; which ones
-// depends on the node's name only, so that the nodes' connections spread evenly.
+// subsetSize is the number of back ends of a large service that one node uses. Hashing by the node's name
+// spreads the nodes' connections evenly.
 const subsetSize = 24
 
-// maxWaiting bounds how many calls wait for a free back end; the next one is refused
-// at once.
+// maxWaiting bounds the calls that wait for a free slot; any further call gets ErrSaturated immediately.
 const maxWaiting = 256
 
-// Outcome is how a call at a back end ended.
+// Outcome is the result of an attempt at a back end.
 type Outcome uint8
 
 const (
-	// Answered: the back end answered, whatever the status.
+	// Answered means that the back end sent a response, with any status.
 	Answered Outcome = iota
-	// Refused: the back end declined the call unprocessed.
+	// Refused means that the back end rejected the call without processing it.
 	Refused
-	// Failed: the connection could not be made or broke.
+	// Failed means that the connection could not be opened or broke.
 	Failed
-	// Canceled: the caller left or the deadline passed; nothing is learned.
+	// Canceled means that the caller disconnected or the deadline passed; limits and failure counts don't change.
 	Canceled
 )
 
-// Config sets up a Pool.
+// Config holds a Pool's settings.
 type Config struct {
 	Node string
 	Zone string
-	// Region is that of the zone, empty if regions are not told apart.
+	// Region is the region of Zone; if empty, regions are ignored.
 	Region string
 	// OwnGate is the address of the gate beside the node, empty for none.
 	OwnGate string
@@ -53,27 +52,26 @@
 	Random func(n int) int
 }
 
-// Pool holds the back ends of one service as one node sees them. It is safe for
-// concurrent use.
+// Pool holds the back ends of one service that one node uses. It is safe for concurrent use.
 type Pool struct {
 	config Config
 
 	mu        sync.Mutex
 	endpoints []*endpoint
-	// gone remembers leaving incarnations, so that a list that lags cannot bring
-	// one back.
-	gone map[string]uint64
-	// changed is closed, and made anew, when waiting calls should look again.
+	// departed maps IDs to the highest leaving incarnation, so that an outdated endpoint list cannot
+	// restore one.
+	departed map[string]uint64
+	// changed is closed and replaced when waiting calls should retry.
 	changed chan struct{}
 	waiting int
 }
 
 // NewPool returns an empty pool.
 func NewPool(config Config) *Pool {
-	return &Pool{config: config, gone: map[string]uint64{}, changed: make(chan struct{})}
+	return &Pool{config: config, departed: map[string]uint64{}, changed: make(chan struct{})}
 }
 
-// Update takes in a service's definition. Back ends that stay keep what was learned.
+// Update applies a service's definition. Back ends that remain in the list keep their state.
 func (p *Pool) Update(now time.Duration, service routing.Service) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -83,7 +81,7 @@
 		e := p.find(target)
 		if e == nil {
 			e = p.newEndpoint(now, target)
-			// A pool that starts whole has nobody else to carry the load.
+			// Back ends of the first update start at full weight: no others could take the load.
 			e.ramped = first
 		}
 		e.target = target
@@ -95,23 +93,23 @@
 			e.limit = e.maxLimit
 		}
 		if target.Leaving {
-			p.leave(e)
+			p.markLeaving(e)
 		}
 		next = append(next, e)
 	}
 	p.endpoints = next
-	p.wakeWaiting()
+	p.wakeWaiters()
 }
 
 func (p *Pool) newEndpoint(now time.Duration, target routing.Endpoint) *endpoint {
-	e := &endpoint{target: target, joinedAt: now, remote: target.Zone != p.config.Zone, far: p.far(target)}
-	if incarnation, left := p.gone[target.ID]; left && target.Incarnation <= incarnation {
+	e := &endpoint{target: target, addedAt: now, inOtherZone: target.Zone != p.config.Zone, inOtherRegion: p.inOtherRegion(target)}
+	if incarnation, known := p.departed[target.ID]; known && target.Incarnation <= incarnation {
 		e.leaving = true
 	}
 	return e
 }
 
-// find returns the known endpoint of the same incarnation and address.
+// find returns the existing endpoint with the same ID, incarnation and address, nil if there is none.
 func (p *Pool) find(target routing.Endpoint) *endpoint {
 	for _, e := range p.endpoints {
 		same := e.target.ID == target.ID && e.target.Incarnation == target.Incarnation && e.target.Address == target.Address
@@ -122,32 +120,32 @@
 	return nil
 }
 
-// subset picks the node's share of a large service by rendezvous hashing: the one beside the
-// node, then those of its own zone, then others (see chooseSubset).
+// subset picks the back ends of a large service that the node uses. It orders them for chooseSubset: the one
+// beside the node, then the available ones, each group by rendezvous hashing.
 func (p *Pool) subset(all []routing.Endpoint) []routing.Endpoint {
 	if len(all) <= subsetSize {
 		return all
 	}
-	rank := func(e routing.Endpoint) uint64 { return xxhash.Sum64String(p.config.Node + "\x00" + e.ID) }
-	own := func(e routing.Endpoint) bool { return e.Gate != "" && e.Gate == p.config.OwnGate }
+	hash := func(e routing.Endpoint) uint64 { return xxhash.Sum64String(p.config.Node + "\x00" + e.ID) }
+	isOwn := func(e routing.Endpoint) bool { return e.Gate != "" && e.Gate == p.config.OwnGate }
 	sorted := slices.Clone(all)
 	slices.SortFunc(sorted, func(a, b routing.Endpoint) int {
-		if own(a) != own(b) {
-			return boolCompare(!own(a), !own(b))
+		if isOwn(a) != isOwn(b) {
+			return compareBool(!isOwn(a), !isOwn(b))
 		}
 		if unavailable(a) != unavailable(b) {
-			return boolCompare(unavailable(a), unavailable(b))
+			return compareBool(unavailable(a), unavailable(b))
 		}
-		return uintCompare(rank(a), rank(b))
+		return compareUint64(hash(a), hash(b))
 	})
 	return p.chooseSubset(sorted)
 }
 
-// unavailable reports whether a back end gets nothing new: it leaves, orders refuse it, or a rollout closes its
-// gate.
+// unavailable reports whether a back end gets no new calls: it is leaving, its zone is evacuated or a similar
+// order excludes it, or a rollout closes its gate.
 func unavailable(e routing.Endpoint) bool { return e.Leaving || e.Refused != "" || e.Closing }
 
-func boolCompare(a, b bool) int {
+func compareBool(a, b bool) int {
 	if a == b {
 		return 0
 	}
@@ -157,7 +155,7 @@
 	return 1
 }
 
-func uintCompare(a, b uint64) int {
+func compareUint64(a, b uint64) int {
 	switch {
 	case a < b:
 		return -1
@@ -167,31 +165,32 @@
 	return 0
 }
 
-func (p *Pool) leave(e *endpoint) {
+// markLeaving excludes an endpoint for good and records its incarnation; the mutex is held.
+func (p *Pool) markLeaving(e *endpoint) {
 	e.leaving = true
-	p.gone[e.target.ID] = max(p.gone[e.target.ID], e.target.Incarnation)
+	p.departed[e.target.ID] = max(p.departed[e.target.ID], e.target.Incarnation)
 }
 
-// Ticket is the right to send one call to one back end. Done must be called once.
+// Ticket is the permission to send one call to one back end. Done must be called exactly once.
 type Ticket struct {
 	pool     *Pool
 	endpoint *endpoint
 	Address  string
 	ID       string
-	// Incarnation is the one that the node knows.
+	// Incarnation is the back end's incarnation in the node's endpoint list.
 	Incarnation uint64
-	// Version is that of the back end's software, empty if unknown.
+	// Version is the software version of the back end, empty if unknown.
 	Version string
 }
 
-// Acquire picks a back end of the regions that may serve the call (none named means all), leaving
-// out the tried ones. If all are at their limits it waits until one is free, but no longer than
-// patience.
-func (p *Pool) Acquire(done <-chan struct{}, now func() time.Duration, patience time.Duration, tried, regions []string) (*Ticket, error) {
+// Acquire picks a back end in one of the regions (empty means all) that is not excluded by ID. If all are at
+// their limits it waits up to patience for a free slot, or until done is closed. The error wraps ErrNoEndpoint
+// or is ErrSaturated.
+func (p *Pool) Acquire(done <-chan struct{}, now func() time.Duration, patience time.Duration, excluded, regions []string) (*Ticket, error) {
 	deadline := now() + patience
 	for {
 		p.mu.Lock()
-		ticket, err := p.pick(now(), tried, regions)
+		ticket, err := p.pick(now(), excluded, regions)
 		remaining := deadline - now()
 		if !errors.Is(err, ErrSaturated) || remaining <= 0 || p.waiting >= maxWaiting {
 			p.mu.Unlock()
@@ -206,8 +205,7 @@
 	}
 }
 
-// wait returns true when the pool changed or the time is up, false when the caller
-// left.
+// wait returns true when the pool has changed or the time is up, false when the caller has disconnected.
 func (p *Pool) wait(done, changed <-chan struct{}, remaining time.Duration) bool {
 	defer func() {
 		p.mu.Lock()
@@ -227,12 +225,12 @@
 }
 
 // pick chooses the better of two random candidates; the mutex is held.
-func (p *Pool) pick(now time.Duration, tried, regions []string) (*Ticket, error) {
-	candidates := p.candidates(now, tried, regions)
+func (p *Pool) pick(now time.Duration, excluded, regions []string) (*Ticket, error) {
+	candidates := p.candidates(now, excluded, regions)
 	if len(candidates) == 0 {
-		return nil, p.noEndpoint()
+		return nil, p.noEndpointError()
 	}
-	free := slices.DeleteFunc(candidates, func(e *endpoint) bool { return !e.free() })
+	free := slices.DeleteFunc(candidates, func(e *endpoint) bool { return !e.hasFreeSlot() })
 	if len(free) == 0 {
 		return nil, ErrSaturated
 	}
@@ -248,67 +246,65 @@
 	}, nil
 }
 
-// candidates returns the back ends that may take a call which only some regions may serve (none named
-// means all), and were not tried yet.
-// Ejections are ignored when they would leave too few, or none that was not tried;
-// leaving back ends never come back.
-func (p *Pool) candidates(now time.Duration, tried, regions []string) []*endpoint {
-	var untried, healthy []*endpoint
+// candidates returns the back ends eligible for a call restricted to regions (empty means all), without the
+// excluded ones. Ejections are ignored if too few usable back ends or no candidates would remain.
+func (p *Pool) candidates(now time.Duration, excluded, regions []string) []*endpoint {
+	var notExcluded, healthy []*endpoint
 	total, usable := 0, 0
 	for _, e := range p.endpoints {
 		if !e.eligible(regions) {
 			continue
 		}
 		total++
-		ready := e.usable(now)
-		if ready {
+		isUsable := e.usable(now)
+		if isUsable {
 			usable++
 		}
-		if slices.Contains(tried, e.target.ID) {
+		if slices.Contains(excluded, e.target.ID) {
 			continue
 		}
-		untried = append(untried, e)
-		if ready {
+		notExcluded = append(notExcluded, e)
+		if isUsable {
 			healthy = append(healthy, e)
 		}
 	}
 	if len(healthy) == 0 || float64(usable) < panicThreshold*float64(total) {
-		return untried
+		return notExcluded
 	}
 	return healthy
 }
 
-// Report takes in what the back end said of itself: its load from 0 to 1, negative for
-// nothing, and whether it leaves.
+// Report records what the back end reported: its load from 0 to 1 (negative if not reported) and whether it
+// is leaving.
 func (t *Ticket) Report(load float64, leaving bool) {
 	t.pool.mu.Lock()
 	defer t.pool.mu.Unlock()
 	if load >= 0 {
-		t.endpoint.reported = min(load, 1)
+		t.endpoint.reportedLoad = min(load, 1)
 	}
 	if leaving {
-		t.pool.leave(t.endpoint)
+		t.pool.markLeaving(t.endpoint)
 	}
 }
 
-// Done ends the call.
+// Done records the outcome of the call and frees its slot.
 func (t *Ticket) Done(now time.Duration, outcome Outcome) {
 	t.pool.mu.Lock()
 	defer t.pool.mu.Unlock()
 	t.endpoint.inFlight--
 	switch outcome {
 	case Answered:
-		t.endpoint.answered()
+		t.endpoint.recordResponse()
 	case Refused:
-		t.endpoint.refused()
+		t.endpoint.recordRefusal()
 	case Failed:
-		t.endpoint.failed(now)
+		t.endpoint.recordFailure(now)
 	}
-	t.pool.wakeWaiting()
+	t.pool.wakeWaiters()
 }
 
-// wakeWaiting lets all waiting calls look again; the mutex is held.
-func (p *Pool) wakeWaiting() {
+// wakeWaiters makes all waiting calls retry; the mutex is held.
+func (p *Pool) wakeWaiters() {
 	if p.waiting == 0 {
 		return
 	}
@@ -316,7 +312,7 @@
 	p.changed = make(chan struct{})
 }
 
-// Status describes one back end for the status page.
+// Status is the state of one back end on the status page.
 type Status struct {
 	ID       string  `json:"id"`
 	Address  string  `json:"address"`
@@ -326,7 +322,7 @@
 	Leaving  bool    `json:"leaving,omitempty"`
 }
 
-// Status describes all back ends.
+// Status returns the state of all back ends in the pool.
 func (p *Pool) Status(now time.Duration) []Status {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -334,7 +330,7 @@
 	for _, e := range p.endpoints {
 		all = append(all, Status{
 			ID: e.target.ID, Address: e.target.Address, InFlight: e.inFlight, Limit: e.limit,
-			Ejected: now < e.ejectedTo, Leaving: e.leaving,
+			Ejected: now < e.ejectedUntil, Leaving: e.leaving,
 		})
 	}
 	return all
--- a/pkg/balancer/pool_test.go
+++ b/pkg/balancer/pool_test.go
@@ -12,7 +12,7 @@
 	"github.com/matryer/is"
 )
 
-func targets(count int) routing.Service {
+func testService(count int) routing.Service {
 	service := routing.Service{Name: "s", MaxConcurrency: 2}
 	for i := range count {
 		service.Endpoints = append(service.Endpoints, routing.Endpoint{ID: fmt.Sprintf("e%d", i), Incarnation: 1, Address: fmt.Sprintf("10.0.0.%d:80", i)})
@@ -26,25 +26,26 @@
 	return p
 }
 
-func acquire(p *Pool, tried ...string) (*Ticket, error) {
-	return p.Acquire(nil, func() time.Duration { return 0 }, 0, tried, nil)
+func acquire(p *Pool, excluded ...string) (*Ticket, error) {
+	return p.Acquire(nil, func() time.Duration { return 0 }, 0, excluded, nil)
 }
 
-func TestLeavingHasNoWayBackButANewLife(t *testing.T) {
+// A back end that reported leaving must not return through an outdated list, only with a new incarnation.
+func TestLeavingBackEndReturnsOnlyWithANewIncarnation(t *testing.T) {
 	is := is.New(t)
-	service := targets(2)
+	service := testService(2)
 	p := testPool(service)
 	ticket, err := acquire(p, "e1")
 	is.NoErr(err)
-	ticket.Report(-1, true) // the back end's own word
+	ticket.Report(-1, true) // reported by the back end itself
 	ticket.Done(0, Answered)
-	p.Update(0, service) // the platform's list lags and shows it live
+	p.Update(0, service) // the platform's list is outdated and shows it as live
 	service.Endpoints[0].Address = "10.9.9.9:80"
-	p.Update(0, service) // even at another address
+	p.Update(0, service) // at another address
 	_, err = acquire(p, "e1")
 	is.True(errors.Is(err, ErrNoEndpoint))
-	p.Update(0, targets(0)) // gone and listed again
-	p.Update(0, targets(2))
+	p.Update(0, testService(0)) // removed and listed again
+	p.Update(0, testService(2))
 	_, err = acquire(p, "e1")
 	is.True(errors.Is(err, ErrNoEndpoint))
 	service.Endpoints[0].Incarnation = 2
@@ -54,26 +55,27 @@
 	is.Equal(ticket.Incarnation, uint64(2))
 }
 
-func TestLimitsHoldAndShrink(t *testing.T) {
+// Refusals must reduce the concurrency limit, but not below one.
+func TestConcurrencyLimitIsEnforcedAndReducedByRefusals(t *testing.T) {
 	is := is.New(t)
-	p := testPool(targets(1))
+	p := testPool(testService(1))
 	first, err := acquire(p)
 	is.NoErr(err)
 	second, err := acquire(p)
 	is.NoErr(err)
 	_, err = acquire(p)
-	is.True(errors.Is(err, ErrSaturated)) // two slots
+	is.True(errors.Is(err, ErrSaturated)) // limit of two
 	first.Done(0, Refused)
 	second.Done(0, Refused)
 	_, err = acquire(p)
 	is.NoErr(err)
 	_, err = acquire(p)
-	is.True(errors.Is(err, ErrSaturated)) // refusals shrink the limit, but not to nothing
+	is.True(errors.Is(err, ErrSaturated)) // reduced to one
 }
 
 func TestWaitingCallGetsAFreedSlot(t *testing.T) {
 	is := is.New(t)
-	p := testPool(targets(1))
+	p := testPool(testService(1))
 	first, err := acquire(p)
 	is.NoErr(err)
 	_, err = acquire(p)
@@ -83,41 +85,42 @@
 	time.AfterFunc(20*time.Millisecond, func() { first.Done(now(), Answered) })
 	_, err = p.Acquire(nil, now, 5*time.Second, nil, nil)
 	is.NoErr(err)
-	left := make(chan struct{})
-	close(left)
-	_, err = p.Acquire(left, now, 5*time.Second, nil, nil)
-	is.True(errors.Is(err, ErrSaturated)) // a caller that leaves does not wait
+	disconnected := make(chan struct{})
+	close(disconnected)
+	_, err = p.Acquire(disconnected, now, 5*time.Second, nil, nil)
+	is.True(errors.Is(err, ErrSaturated)) // a disconnected caller does not wait
 }
 
-// eject makes a back end fail as often as it takes; keep names the others.
-func eject(t *testing.T, p *Pool, keep ...string) {
+// eject fails the back end that is not in others until it is ejected.
+func eject(t *testing.T, p *Pool, others ...string) {
 	t.Helper()
 	for range failuresToEject {
-		ticket, err := acquire(p, keep...)
+		ticket, err := acquire(p, others...)
 		is.New(t).NoErr(err)
 		ticket.Done(0, Failed)
 	}
 }
 
-func TestFailingBackEndsAreEjectedButNeverMost(t *testing.T) {
+// Ejections must be ignored when too few back ends would remain.
+func TestFailingBackEndsAreEjectedUnlessTooFewRemain(t *testing.T) {
 	is := is.New(t)
-	p := testPool(targets(3))
+	p := testPool(testService(3))
 	eject(t, p, "e1", "e2")
 	for range 10 {
 		ticket, err := acquire(p)
 		is.NoErr(err)
-		is.True(ticket.ID != "e0") // left out
+		is.True(ticket.ID != "e0") // ejected
 		ticket.Done(0, Answered)
 	}
 	for range 10 {
 		ticket, err := acquire(p, "e1")
 		is.NoErr(err)
-		is.Equal(ticket.ID, "e2") // a retry does not go to the ejected one either
+		is.Equal(ticket.ID, "e2") // a retry avoids the ejected one, too
 		ticket.Done(0, Answered)
 	}
 	ticket, err := acquire(p, "e1", "e2")
 	is.NoErr(err)
-	is.Equal(ticket.ID, "e0") // unless nobody else is left
+	is.Equal(ticket.ID, "e0") // unless all others are excluded
 	ticket.Done(0, Answered)
 	eject(t, p, "e0", "e2")
 	seen := map[string]bool{}
@@ -127,23 +130,25 @@
 		seen[ticket.ID] = true
 		ticket.Done(0, Answered)
 	}
-	is.Equal(len(seen), 3) // one of three is too few: nobody is left out
+	is.Equal(len(seen), 3) // one usable of three is below panicThreshold
 }
 
-func TestColdBackEndsRampUp(t *testing.T) {
+// A back end added later must ramp up; those of the first update start at full weight.
+func TestNewBackEndsRampUp(t *testing.T) {
 	is := is.New(t)
-	p := testPool(targets(1))
-	p.Update(time.Second, targets(2))
-	cold := p.endpoints[1]
-	is.True(cold.weight(time.Second) < 0.3)
-	is.Equal(cold.weight(time.Second+rampTime), 1.0)
-	is.Equal(p.endpoints[0].weight(time.Second), 1.0) // those there from the start carry all
+	p := testPool(testService(1))
+	p.Update(time.Second, testService(2))
+	added := p.endpoints[1]
+	is.True(added.weight(time.Second) < 0.3)
+	is.Equal(added.weight(time.Second+rampTime), 1.0)
+	is.Equal(p.endpoints[0].weight(time.Second), 1.0) // present from the first update
 }
 
-func TestSubsetsAreStableAndSpread(t *testing.T) {
+// The nodes' subsets together must cover all back ends about evenly.
+func TestSubsetsSpreadOverAllBackEnds(t *testing.T) {
 	is := is.New(t)
 	const endpoints, nodes = 240, 200
-	service := targets(endpoints)
+	service := testService(endpoints)
 	used := map[string]int{}
 	for node := range nodes {
 		p := NewPool(Config{Node: fmt.Sprintf("node-%d", node)})
@@ -153,7 +158,7 @@
 			used[e.target.ID]++
 		}
 	}
-	is.Equal(len(used), endpoints) // everybody is used by somebody
+	is.Equal(len(used), endpoints) // each back end is used by some node
 	for id, count := range used {
 		if count > 3*nodes*subsetSize/endpoints {
 			t.Errorf("%s is used by %d nodes", id, count)
--- a/pkg/balancer/refused.go
+++ b/pkg/balancer/refused.go
@@ -8,8 +8,9 @@
 	"bramblelift/pkg/exchange"
 )
 
-// noEndpoint says why no back end takes a call; the mutex is held.
-func (p *Pool) noEndpoint() error {
+// noEndpointError returns ErrNoEndpoint, wrapped with the number of back ends refused for each reason; the mutex
+// is held.
+func (p *Pool) noEndpointError() error {
 	var reasons []exchange.Reason
 	counts := map[exchange.Reason]int{}
 	for _, e := range p.endpoints {
@@ -22,9 +23,9 @@
 		return ErrNoEndpoint
 	}
 	slices.Sort(reasons)
-	var text []string
+	var parts []string
 	for _, reason := range slices.Compact(reasons) {
-		text = append(text, fmt.Sprintf("%d %s", counts[reason], reason))
+		parts = append(parts, fmt.Sprintf("%d %s", counts[reason], reason))
 	}
-	return fmt.Errorf("%w: of %d, %s", ErrNoEndpoint, len(p.endpoints), strings.Join(text, ", "))
+	return fmt.Errorf("%w: of %d, %s", ErrNoEndpoint, len(p.endpoints), strings.Join(parts, ", "))
 }
--- a/pkg/balancer/refused_test.go
+++ b/pkg/balancer/refused_test.go
@@ -12,9 +12,9 @@
 	"github.com/matryer/is"
 )
 
-// With or without gates, a back end that orders keep closed gets nothing, and returns once it may; who asks
-// in vain hears why.
-func TestBackendsThatOrdersKeepClosed(t *testing.T) {
+// A back end refused by an order gets no calls until the order ends, with or without gates, and the error
+// names the reason.
+func TestRefusedBackEndsGetNoCalls(t *testing.T) {
 	is := is.New(t)
 	p := NewPool(Config{Node: "n", Zone: "a", Random: rand.New(rand.NewPCG(1, 2)).IntN})
 	service := func(refused ...exchange.Reason) routing.Service {
@@ -33,7 +33,7 @@
 		ticket.Done(0, Answered)
 	}
 	p.Update(0, service(exchange.ReasonEvacuated, exchange.ReasonEvacuated))
-	_, err := p.Acquire(nil, now, time.Second, nil, nil) // at once, not after its patience
+	_, err := p.Acquire(nil, now, time.Second, nil, nil) // immediately, not after the patience
 	is.True(errors.Is(err, ErrNoEndpoint))
 	is.Equal(err.Error(), "no back end takes calls: of 2, 2 evacuated")
 	_, _, err = p.AcquireGate(0, GateRequest{})
--- a/pkg/balancer/subset_test.go
+++ b/pkg/balancer/subset_test.go
@@ -11,11 +11,10 @@
 	"github.com/matryer/is"
 )
 
-// A node of a large service keeps back ends of its own zone, and of others in case that
-// zone fails.
-func TestSubsetHoldsTheOwnZoneFirst(t *testing.T) {
+// The subset of a large service must prefer the own zone, and include others in case that zone fails.
+func TestSubsetPrefersTheOwnZone(t *testing.T) {
 	is := is.New(t)
-	for zoneSize, wantLocal := range map[int]int{3: 3, 11: 11, 40: localSubset} {
+	for zoneSize, wantLocal := range map[int]int{3: 3, 11: 11, 40: ownZoneSubset} {
 		service := routing.Service{Name: "s"}
 		for zone := range 4 {
 			for i := range zoneSize {
@@ -30,20 +29,19 @@
 			local := 0
 			for _, e := range p.endpoints {
 				used[e.target.ID]++
-				if !e.remote {
+				if !e.inOtherZone {
 					local++
 				}
 			}
 			is.Equal(local, wantLocal)
 			is.Equal(len(p.endpoints), min(subsetSize, 4*zoneSize))
 		}
-		is.True(len(used) > 3*zoneSize) // all nodes together use nearly everybody
+		is.True(len(used) > 3*zoneSize) // the nodes together use nearly all back ends
 	}
 }
 
-// Back ends that get nothing new don't take the places of those that do: a node whose zone is evacuated
-// would have too few left.
-func TestSubsetLeavesOutBackendsOfEvacuatedZones(t *testing.T) {
+// Unavailable back ends must not fill the subset: a node in an evacuated zone would have too few left.
+func TestSubsetExcludesBackEndsOfEvacuatedZones(t *testing.T) {
 	is := is.New(t)
 	service := routing.Service{Name: "s"}
 	for i := range 40 {
@@ -58,16 +56,16 @@
 	candidates := p.candidates(0, nil, nil)
 	is.Equal(len(candidates), subsetSize)
 
-	// Taken back, the own zone is the first choice again.
+	// After the evacuation ends, the own zone is preferred again.
 	for i := range 40 {
 		service.Endpoints[i].Refused = ""
 	}
 	p.Update(0, service)
 	local := 0
 	for _, e := range p.candidates(0, nil, nil) {
-		if !e.remote {
+		if !e.inOtherZone {
 			local++
 		}
 	}
-	is.Equal(local, localSubset)
+	is.Equal(local, ownZoneSubset)
 }
--- a/pkg/balancer/version.go
+++ b/pkg/balancer/version.go
@@ -6,14 +6,14 @@
 	"bramblelift/pkg/rollout"
 )
 
-// VersionChoice is which side of a rollout a call goes to. The zero value has no preference.
+// VersionChoice selects the side of a rollout that a call goes to. The zero value has no preference.
 type VersionChoice struct {
 	Rollout *rollout.Rollout
 	Side    rollout.Side
 }
 
-// prefer returns the candidates on the chosen side, or all of them if there is none: gates let in only
-// what their version may get in any case.
+// prefer returns the candidates on the chosen side, or all if there is none: each gate enforces its version's
+// grant in any case.
 func (c VersionChoice) prefer(candidates []*endpoint) []*endpoint {
 	if c.Rollout == nil {
 		return candidates
--- a/pkg/balancer/version_test.go
+++ b/pkg/balancer/version_test.go
@@ -25,16 +25,15 @@
 		defer ticket.Done(0, Canceled)
 		return ticket.ID
 	}
-	is.Equal(choose(rollout.AnyVersion), "new") // the one beside the node
+	is.Equal(choose(rollout.AnyVersion), "new") // the back end beside the node
 	is.Equal(choose(rollout.OldVersions), "old")
 	is.Equal(choose(rollout.NewVersion), "new")
 	is.Equal(choose(rollout.NewVersion, "new"), "old")
-	is.Equal(choose(rollout.OldVersions, "old"), "new") // its gate lets in what it may
+	is.Equal(choose(rollout.OldVersions, "old"), "new") // the gate decides whether to admit
 }
 
-// The back ends of a new version were started just now: while they are cold and have no room, a warm one of the old
-// version takes the call at once.
-func TestColdNewVersionLeavesCallsToTheOld(t *testing.T) {
+// While the new version's back ends are cold and cannot admit the call in time, it must go to the old version.
+func TestCallGoesToOldVersionWhileNewVersionIsColdAndFull(t *testing.T) {
 	is := is.New(t)
 	r := &rollout.Rollout{Version: "v2", Phase: rollout.Running}
 	pool := NewPool(Config{Node: "n", Zone: "z", Random: func(int) int { return 0 }})
@@ -43,27 +42,28 @@
 	}})
 	for _, e := range pool.endpoints {
 		if e.target.Version == "v2" {
-			e.heard(0, exchange.Report{Capacity: 4, Cold: exchange.Cold{Remaining: time.Second, Room: 300 * time.Millisecond, Interval: 100 * time.Millisecond}})
+			e.recordReport(0, exchange.Report{Capacity: 4, Cold: exchange.Cold{Remaining: time.Second, Room: 300 * time.Millisecond, Interval: 100 * time.Millisecond}})
 		}
 	}
 	request := GateRequest{Patience: 200 * time.Millisecond, Version: VersionChoice{Rollout: r, Side: rollout.NewVersion}}
 	ticket, _, err := pool.AcquireGate(0, request)
 	is.NoErr(err)
 	is.Equal(ticket.ID, "old")
-	request.Patience = 400 * time.Millisecond // now it may wait there
+	request.Patience = 400 * time.Millisecond // long enough to wait for the new version
 	ticket, _, err = pool.AcquireGate(0, request)
 	is.NoErr(err)
 	is.Equal(ticket.ID, "new")
 }
 
-func TestNoRolloutCostsNothing(t *testing.T) {
+// The choice must not allocate while no rollout runs.
+func TestPreferWithoutRolloutDoesNotAllocate(t *testing.T) {
 	is := is.New(t)
 	candidates := []*endpoint{{}, {}}
 	is.Equal(testing.AllocsPerRun(100, func() { _ = VersionChoice{}.prefer(candidates) }), 0.0)
 }
 
-// Near the end of a rollout a node must not know the old back ends of a large service instead of the new.
-func TestNodesKnowTheBackEndsThatTakeOver(t *testing.T) {
+// Near the end of a rollout the closing back ends must not crowd the new ones out of the subset.
+func TestSubsetIncludesNewVersionOfARollout(t *testing.T) {
 	is := is.New(t)
 	service := routing.Service{Name: "s"}
 	for i := range 4 * subsetSize {
@@ -75,11 +75,11 @@
 	}
 	pool := NewPool(Config{Node: "n", Zone: "z", Random: func(int) int { return 0 }})
 	pool.Update(0, service)
-	known := 0
+	newCount := 0
 	for _, e := range pool.endpoints {
 		if e.target.Version == "v2" {
-			known++
+			newCount++
 		}
 	}
-	is.Equal(known, subsetSize/2) // all that there are
+	is.Equal(newCount, subsetSize/2) // all back ends of the new version
 }
