--- a/pkg/link/delay.go
+++ b/pkg/link/delay.go
@@ -8,85 +8,84 @@
 )
 
 const (
-	// crowdedDelay is how much longer than at best a message takes over a path on which packets queue. A
-	// controller that yields to others aims at no more than that (LEDBAT, RFC 6817: 100 ms).
-	crowdedDelay = 100 * time.Millisecond
-	// fullDelay is from which delay on even small messages that could stay are kept away: the queue is
-	// three times what a crowded path has.
-	fullDelay = 3 * crowdedDelay
-	// delayHalfLife is after how long a delay counts half, delayMemory after how long without any the path
-	// must be tried again.
+	// crowdedQueueDelay is the queueing delay above which a path is Crowded: the target delay of a congestion
+	// controller that yields to other traffic (LEDBAT, RFC 6817).
+	crowdedQueueDelay = 100 * time.Millisecond
+	// fullQueueDelay is the queueing delay above which a path is Full.
+	fullQueueDelay = 3 * crowdedQueueDelay
+	// delayHalfLife is the half-life of a measurement in the smoothed delay. delayMaxAge is the age above
+	// which the smoothed delay is ignored, so that the path is used again.
 	delayHalfLife = 300 * time.Millisecond
-	delayMemory   = 2 * time.Second
-	// baseMemory is for how long the least delay is remembered: paths change.
-	baseMemory = time.Minute
+	delayMaxAge   = 2 * time.Second
+	// baseWindow is the window over which the base delay is the minimum, so that it follows route changes.
+	baseWindow = time.Minute
 )
 
-// Crowding is how much a path's delay says of the messages that queue on it.
+// Crowding is the congestion level of a path, derived from its queueing delay.
 type Crowding uint8
 
 const (
-	// Clear paths take everything.
+	// Clear means that the path may carry any message.
 	Clear Crowding = iota
-	// Crowded paths should be spared what is large.
+	// Crowded means that large messages should avoid the path.
 	Crowded
-	// Full paths should be spared whatever can go elsewhere.
+	// Full means that every message that can take another path should do so.
 	Full
 )
 
-// String returns the lower-case name of the crowding.
+// String returns the level in lower case.
 func (c Crowding) String() string { return [...]string{"clear", "crowded", "full"}[c] }
 
-// Delay knows how long messages take over a path that others use, too, whose capacity nobody tells: the rise
-// over the least delay is what waits on it. The zero value knows nothing; it is safe for concurrent use.
+// Delay measures the queueing delay of a shared path of unknown capacity: the rise of the smoothed round-trip
+// time above its recent minimum. The zero value has no measurement. It is safe for concurrent use.
 type Delay struct {
 	mu sync.Mutex
-	// base and lastBase are the least delays of this span of baseMemory and of the one before it.
-	base, lastBase time.Duration
-	spanEnds       time.Duration
-	smoothed       time.Duration
-	at             time.Duration
+	// base and previousBase are the minimum round-trip times of the current and of the previous window.
+	base, previousBase time.Duration
+	windowEnd          time.Duration
+	smoothed           time.Duration
+	updatedAt          time.Duration
 }
 
-// Note takes in how long a message took there and back, without the time that it was held at the other end.
-func (d *Delay) Note(now, took time.Duration) {
+// Note adds a measured round-trip time, without the processing time at the other end.
+func (d *Delay) Note(now, roundTrip time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if now >= d.spanEnds {
-		d.lastBase, d.base = d.base, 0
-		d.spanEnds = now + baseMemory
+	if now >= d.windowEnd {
+		d.previousBase, d.base = d.base, 0
+		d.windowEnd = now + baseWindow
 	}
-	if d.base == 0 || took < d.base {
-		d.base = took
+	if d.base == 0 || roundTrip < d.base {
+		d.base = roundTrip
 	}
-	if d.smoothed == 0 || now-d.at > delayMemory {
-		d.smoothed = took
+	if d.smoothed == 0 || now-d.updatedAt > delayMaxAge {
+		d.smoothed = roundTrip
 	} else {
-		d.smoothed += time.Duration((1 - clock.Kept(now-d.at, delayHalfLife)) * float64(took-d.smoothed))
+		d.smoothed += time.Duration((1 - clock.Kept(now-d.updatedAt, delayHalfLife)) * float64(roundTrip-d.smoothed))
 	}
-	d.at = now
+	d.updatedAt = now
 }
 
-// Rise returns by how much the delay is above the least, zero if it was not seen lately.
+// Rise returns the queueing delay, zero without a recent measurement.
 func (d *Delay) Rise(now time.Duration) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.smoothed == 0 || now-d.at > delayMemory {
+	if d.smoothed == 0 || now-d.updatedAt > delayMaxAge {
 		return 0
 	}
-	least := d.base
-	if d.lastBase > 0 {
-		least = min(least, d.lastBase)
+	minDelay := d.base
+	if d.previousBase > 0 {
+		minDelay = min(minDelay, d.previousBase)
 	}
-	return max(0, d.smoothed-least)
+	return max(0, d.smoothed-minDelay)
 }
 
-// Crowding returns how much the path should be spared.
+// Crowding returns the path's congestion level.
 func (d *Delay) Crowding(now time.Duration) Crowding {
 	switch rise := d.Rise(now); {
-	case rise > fullDelay:
+	case rise > fullQueueDelay:
 		return Full
-	case rise > crowdedDelay:
+	case rise > crowdedQueueDelay:
 		return Crowded
 	}
 	return Clear
--- a/pkg/link/delay_test.go
+++ b/pkg/link/delay_test.go
@@ -7,42 +7,43 @@
 	"github.com/matryer/is"
 )
 
-func TestRiseOfTheDelayTellsACrowdedPath(t *testing.T) {
+// The level must follow a sustained rise of the delay, and fall once the rise ends or is old.
+func TestCrowdingFollowsTheRiseOfTheDelay(t *testing.T) {
 	is := is.New(t)
 	var d Delay
-	is.Equal(d.Crowding(0), Clear) // nothing known
+	is.Equal(d.Crowding(0), Clear) // no measurement
 	now := time.Second
-	note := func(took time.Duration, times int) {
+	note := func(roundTrip time.Duration, times int) {
 		for range times {
 			now += 100 * time.Millisecond
-			d.Note(now, took)
+			d.Note(now, roundTrip)
 		}
 	}
 	note(62*time.Millisecond, 10)
 	is.Equal(d.Crowding(now), Clear)
 	note(250*time.Millisecond, 1)
-	is.Equal(d.Crowding(now), Clear) // one says little
+	is.Equal(d.Crowding(now), Clear) // a single measurement has little weight
 	note(250*time.Millisecond, 20)
 	is.Equal(d.Crowding(now), Crowded)
 	note(600*time.Millisecond, 20)
 	is.Equal(d.Crowding(now), Full)
-	is.Equal(d.Crowding(now+delayMemory+1), Clear) // try again
+	is.Equal(d.Crowding(now+delayMaxAge+1), Clear) // the measurement is too old
 	note(62*time.Millisecond, 30)
 	is.Equal(d.Crowding(now), Clear)
 }
 
-// A path that has become longer for good is not crowded for ever.
-func TestLeastDelayIsForgotten(t *testing.T) {
+// A permanently longer path must not count as crowded forever.
+func TestBaseDelayFollowsAPermanentRise(t *testing.T) {
 	is := is.New(t)
 	var d Delay
 	for now := time.Duration(0); now < 10*time.Second; now += 100 * time.Millisecond {
 		d.Note(now, 10*time.Millisecond)
 	}
-	for now := 10 * time.Second; now < 3*baseMemory; now += 100 * time.Millisecond {
+	for now := 10 * time.Second; now < 3*baseWindow; now += 100 * time.Millisecond {
 		d.Note(now, 300*time.Millisecond)
 		if now == 20*time.Second {
 			is.Equal(d.Crowding(now), Crowded)
 		}
 	}
-	is.Equal(d.Crowding(3*baseMemory), Clear)
+	is.Equal(d.Crowding(3*baseWindow), Clear)
 }
--- a/pkg/link/meter.go
+++ b/pkg/link/meter.go
@@ -1,6 +1,6 @@
-// Package link counts the bytes that a node moves over its machine's link, by who is at the other
-// end. On a narrow link operators need to know what fills it, and large bodies get only what calls,
-// answers and configuration leave.
+// Package link counts the bytes that a node receives and sends over its machine's link, by kind of peer, and
+// measures the queueing delay of paths to other regions. Gates use the rates to give large bodies and
+// responses only the capacity that other traffic leaves.
 package link
 
 import (
@@ -16,49 +16,48 @@
 	"bramblelift/pkg/clock"
 )
 
-// Peer is who is at the other end of a connection.
+// Peer is the kind of process at the other end of a connection.
 type Peer uint8
 
 const (
-	// Callers send calls; those of the back end beside the node are counted with them.
+	// Callers are clients that send calls, including the back end beside the node.
 	Callers Peer = iota
-	// Nodes pass calls on to each other.
+	// Nodes are other nodes, which forward calls to each other.
 	Nodes
-	// Control sends configuration.
+	// Control is the control plane, which sends configuration.
 	Control
-	peers
+	peerCount
 )
 
-// String names the peer in metrics.
-func (p Peer) String() string { return [peers]string{"callers", "nodes", "control"}[p] }
+// String returns the peer's name in metrics.
+func (p Peer) String() string { return [peerCount]string{"callers", "nodes", "control"}[p] }
 
 const (
-	// rateInterval is the least time that a rate is measured over, rateHalfLife after how long a
-	// measurement counts half: long enough for some calls, short against a burst.
+	// rateInterval is the minimum time between two samples of a counter, rateHalfLife the half-life of a
+	// sample in the smoothed rate.
 	rateInterval = 100 * time.Millisecond
 	rateHalfLife = 500 * time.Millisecond
 )
 
-// Meter counts the bytes of connections. It is safe for concurrent use; nil counts nothing.
+// Meter counts the bytes of connections. It is safe for concurrent use. A nil Meter counts nothing.
 type Meter struct {
-	// capacity is the link's in bytes a second each way, zero if it is not known.
+	// capacity is the link's capacity in bytes per second in each direction, zero if unknown.
 	capacity       float64
-	received, sent [peers]atomic.Int64
-	// bodies counts what of the received bytes were large bodies that came when the node asked
-	// for them.
-	bodies atomic.Int64
-	// answers counts what of the sent bytes were large answers, booked those of them that the node's
-	// gate had booked.
-	answers, booked atomic.Int64
-
-	mu                                  sync.Mutex
-	in, out, unasked, unbooked, unpaced rate
+	received, sent [peerCount]atomic.Int64
+	// requestedBodies counts the received bytes of large bodies that the node requested.
+	requestedBodies atomic.Int64
+	// largeResponses counts the sent bytes of large responses, reserved those for which the node's gate
+	// had reserved the link.
+	largeResponses, reserved atomic.Int64
+
+	mu                                        sync.Mutex
+	in, out, unrequested, unreserved, unpaced rate
 }
 
-// NewMeter returns a meter of a link of so many bits a second each way, zero if that is not known.
+// NewMeter returns a meter for a link with a capacity of bitsPerSecond in each direction, zero if unknown.
 func NewMeter(bitsPerSecond float64) *Meter { return &Meter{capacity: bitsPerSecond / 8} }
 
-// Capacity returns the link's in bytes a second each way, zero if it is not known.
+// Capacity returns the link's capacity in bytes per second in each direction, zero if unknown.
 func (m *Meter) Capacity() float64 {
 	if m == nil {
 		return 0
@@ -66,100 +65,101 @@
 	return m.capacity
 }
 
-// Received returns the bytes that came from a kind of peer.
+// Received returns the bytes received from a kind of peer.
 func (m *Meter) Received(p Peer) int64 { return m.received[p].Load() }
 
-// Sent returns the bytes that went to a kind of peer.
+// Sent returns the bytes sent to a kind of peer.
 func (m *Meter) Sent(p Peer) int64 { return m.sent[p].Load() }
 
-// BodyReceived notes that some of the bytes were a large body that the node had asked for.
+// BodyReceived records that size of the received bytes were a large body that the node requested.
 func (m *Meter) BodyReceived(size int64) {
 	if m != nil {
-		m.bodies.Add(size)
+		m.requestedBodies.Add(size)
 	}
 }
 
-// UnaskedRate returns how many bytes a second come beside large bodies that the node asked for, at
-// a moment on the process's monotonic clock.
+// UnaskedRate returns the receive rate in bytes per second without large bodies that the node requested. The
+// current time now is on the process's monotonic clock.
 func (m *Meter) UnaskedRate(now time.Duration) float64 {
 	if m == nil {
 		return 0
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.unasked.at(now, sum(&m.received)-m.bodies.Load())
+	return m.unrequested.sample(now, sum(&m.received)-m.requestedBodies.Load())
 }
 
-// Answer counts a large answer as it is sent; booked says that the node's gate has booked the link for it.
-func (m *Meter) Answer(body io.ReadCloser, booked bool) io.ReadCloser {
+// Answer wraps the body of a large response to count its bytes as they are sent. Reserved says whether the
+// node's gate has reserved the link for it.
+func (m *Meter) Answer(body io.ReadCloser, reserved bool) io.ReadCloser {
 	if m == nil {
 		return body
 	}
-	counted := &countedAnswer{ReadCloser: body, sent: &m.answers}
-	if booked {
-		counted.booked = &m.booked
+	counted := &countedResponse{ReadCloser: body, sent: &m.largeResponses}
+	if reserved {
+		counted.reserved = &m.reserved
 	}
 	return counted
 }
 
-// countedAnswer is a large answer on its way.
-type countedAnswer struct {
+// countedResponse counts the bytes read from the body of a large response.
+type countedResponse struct {
 	io.ReadCloser
 	sent *atomic.Int64
-	// booked is nil for an answer that was not booked.
-	booked *atomic.Int64
+	// reserved is nil if the gate has not reserved the link for the response.
+	reserved *atomic.Int64
 }
 
 // Read implements io.Reader.
-func (c *countedAnswer) Read(p []byte) (int, error) {
+func (c *countedResponse) Read(p []byte) (int, error) {
 	n, err := c.ReadCloser.Read(p)
 	c.sent.Add(int64(n))
-	if c.booked != nil {
-		c.booked.Add(int64(n))
+	if c.reserved != nil {
+		c.reserved.Add(int64(n))
 	}
 	return n, err
 }
 
-// AnswersSent returns the bytes of large answers.
-func (m *Meter) AnswersSent() int64 { return m.answers.Load() }
+// AnswersSent returns the bytes of large responses sent.
+func (m *Meter) AnswersSent() int64 { return m.largeResponses.Load() }
 
-// BodiesReceived returns the bytes of large bodies that came when the node asked for them.
-func (m *Meter) BodiesReceived() int64 { return m.bodies.Load() }
+// BodiesReceived returns the bytes received of large bodies that the node requested.
+func (m *Meter) BodiesReceived() int64 { return m.requestedBodies.Load() }
 
-// UnbookedRate returns how many bytes a second are sent beside large answers that were booked, at a
-// moment on the process's monotonic clock.
+// UnbookedRate returns the send rate in bytes per second without large responses for which the gate reserved
+// the link. The current time now is on the process's monotonic clock.
 func (m *Meter) UnbookedRate(now time.Duration) float64 {
 	if m == nil {
 		return 0
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.unbooked.at(now, sum(&m.sent)-m.booked.Load())
+	return m.unreserved.sample(now, sum(&m.sent)-m.reserved.Load())
 }
 
-// UnpacedRate returns how many bytes a second are sent beside large answers, at a moment on the
-// process's monotonic clock.
+// UnpacedRate returns the send rate in bytes per second without large responses, which are paced. The current
+// time now is on the process's monotonic clock.
 func (m *Meter) UnpacedRate(now time.Duration) float64 {
 	if m == nil {
 		return 0
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.unpaced.at(now, sum(&m.sent)-m.answers.Load())
+	return m.unpaced.sample(now, sum(&m.sent)-m.largeResponses.Load())
 }
 
-// Load returns which share of the link is used in the direction that is used more, zero if the
-// link's capacity is not known.
+// Load returns the utilization of the link in its busier direction, as a fraction of its capacity; zero if the
+// capacity is unknown.
 func (m *Meter) Load(now time.Duration) float64 {
 	if m == nil || m.capacity == 0 {
 		return 0
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return max(m.in.at(now, sum(&m.received)), m.out.at(now, sum(&m.sent))) / m.capacity
+	return max(m.in.sample(now, sum(&m.received)), m.out.sample(now, sum(&m.sent))) / m.capacity
 }
 
-func sum(counters *[peers]atomic.Int64) int64 {
+func sum(counters *[peerCount]atomic.Int64) int64 {
 	total := int64(0)
 	for p := range counters {
 		total += counters[p].Load()
@@ -167,27 +167,27 @@
 	return total
 }
 
-// rate is how fast a counter grows, smoothed.
+// rate is the exponentially smoothed growth rate of a counter.
 type rate struct {
 	perSecond float64
-	// read is when the counter was read last, count what it showed.
-	read  time.Duration
-	count int64
+	// sampledAt is the time of the last sample, count its value.
+	sampledAt time.Duration
+	count     int64
 }
 
-// at reads the counter at a moment and returns its rate.
-func (r *rate) at(now time.Duration, count int64) float64 {
-	elapsed := now - r.read
+// sample adds the counter's value at now, if rateInterval has passed, and returns the rate per second.
+func (r *rate) sample(now time.Duration, count int64) float64 {
+	elapsed := now - r.sampledAt
 	if elapsed < rateInterval {
 		return r.perSecond
 	}
 	measured := max(0, float64(count-r.count)/elapsed.Seconds())
 	r.perSecond += (1 - clock.Kept(elapsed, rateHalfLife)) * (measured - r.perSecond)
-	r.read, r.count = now, count
+	r.sampledAt, r.count = now, count
 	return r.perSecond
 }
 
-// Conn counts a connection's bytes.
+// Conn wraps a connection to count its bytes.
 func (m *Meter) Conn(p Peer, conn net.Conn) net.Conn {
 	if m == nil {
 		return conn
@@ -195,15 +195,15 @@
 	return &countedConn{Conn: conn, received: &m.received[p], sent: &m.sent[p]}
 }
 
-// Listener counts the bytes of the connections that a listener accepts.
+// Listener wraps a listener to count the bytes of the connections that it accepts.
 func (m *Meter) Listener(p Peer, l net.Listener) net.Listener {
 	return &countedListener{Listener: l, meter: m, peer: p}
 }
 
-// Dial is a function that opens a connection, as http.Transport takes it.
+// Dial opens a connection; it has the type of http.Transport.DialContext.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Dialer counts the bytes of the connections that are dialled.
+// Dialer wraps dial to count the bytes of the connections that it opens.
 func (m *Meter) Dialer(p Peer, dial Dial) Dial {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
@@ -214,7 +214,7 @@
 	}
 }
 
-// countedListener counts the bytes of what it accepts.
+// countedListener counts the bytes of the connections that it accepts.
 type countedListener struct {
 	net.Listener
 	meter *Meter
@@ -230,7 +230,7 @@
 	return l.meter.Conn(l.peer, conn), nil
 }
 
-// countedConn counts its bytes.
+// countedConn counts the bytes that it reads and writes.
 type countedConn struct {
 	net.Conn
 	received, sent *atomic.Int64
@@ -250,7 +250,7 @@
 	return n, err
 }
 
-// SyscallConn gives access to the connection's socket, if it has one.
+// SyscallConn returns the raw connection of the underlying socket, or errors.ErrUnsupported if there is none.
 func (c *countedConn) SyscallConn() (syscall.RawConn, error) {
 	if socket, ok := c.Conn.(syscall.Conn); ok {
 		return socket.SyscallConn()
@@ -258,10 +258,10 @@
 	return nil, errors.ErrUnsupported
 }
 
-// CloseWrite ends the sending direction, if the connection can.
+// CloseWrite shuts down the sending direction if the connection supports it; otherwise it does nothing.
 func (c *countedConn) CloseWrite() error {
-	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
-		return half.CloseWrite()
+	if w, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		return w.CloseWrite()
 	}
 	return nil
 }
--- a/pkg/link/meter_test.go
+++ b/pkg/link/meter_test.go
@@ -27,7 +27,7 @@
 	_, err = client.Write([]byte("twelve bytes"))
 	is.NoErr(err)
 	is.NoErr(client.(interface{ CloseWrite() error }).CloseWrite())
-	data, err := io.ReadAll(server) // ends: the sending direction was closed
+	data, err := io.ReadAll(server) // returns because the sending direction is closed
 	is.NoErr(err)
 	is.Equal(string(data), "twelve bytes")
 	is.Equal(m.Sent(Nodes), int64(12))
@@ -37,7 +37,8 @@
 	is.True(err != nil)
 }
 
-func TestRateLeavesOutBodiesThatWereAskedFor(t *testing.T) {
+// UnaskedRate must not include requested bodies.
+func TestUnaskedRateExcludesRequestedBodies(t *testing.T) {
 	is := is.New(t)
 	var m Meter
 	for i := range 50 { // ten seconds of 100,000 bytes a second, half of them bodies
@@ -48,15 +49,16 @@
 	rate := m.UnaskedRate(10 * time.Second)
 	is.True(rate > 49_900 && rate < 50_100)
 	m.received[Callers].Add(1 << 20)
-	is.Equal(m.UnaskedRate(10*time.Second+rateInterval/2), rate) // too soon to say
+	is.Equal(m.UnaskedRate(10*time.Second+rateInterval/2), rate) // before the next sample
 	is.True(m.UnaskedRate(11*time.Second) > rate)
-	is.True(m.UnaskedRate(30*time.Second) < 100) // it was long ago
-	var none *Meter
-	none.BodyReceived(1)
-	is.Equal(none.UnaskedRate(time.Second), 0.0)
+	is.True(m.UnaskedRate(30*time.Second) < 100) // the burst has decayed
+	var nilMeter *Meter
+	nilMeter.BodyReceived(1)
+	is.Equal(nilMeter.UnaskedRate(time.Second), 0.0)
 }
 
-func TestLoadIsOfTheBusierDirection(t *testing.T) {
+// Load must be that of the busier direction, not of both together.
+func TestLoadIsThatOfTheBusierDirection(t *testing.T) {
 	is := is.New(t)
 	m := NewMeter(8e6) // a megabyte a second
 	is.Equal(m.Load(time.Second), 0.0)
@@ -66,39 +68,38 @@
 	load := m.Load(21 * time.Second)
 	is.True(load > 0.019 && load < 0.021) // 400 kB in 20 s
 	is.Equal(NewMeter(0).Load(time.Second), 0.0)
-	var none *Meter
-	is.Equal(none.Load(time.Second), 0.0)
+	var nilMeter *Meter
+	is.Equal(nilMeter.Load(time.Second), 0.0)
 }
 
-// What leaves beside large answers is told from them, and those that the gate booked from those that the
-// node passes on.
-func TestRatesLeaveOutLargeAnswers(t *testing.T) {
+// UnpacedRate must exclude all large responses, UnbookedRate only those with a reservation.
+func TestSendRatesExcludeLargeResponses(t *testing.T) {
 	is := is.New(t)
 	var m Meter
-	answer := func(booked bool) {
-		body := m.Answer(io.NopCloser(io.LimitReader(zeros{}, 5_000)), booked)
+	send := func(reserved bool) {
+		body := m.Answer(io.NopCloser(io.LimitReader(zeros{}, 5_000)), reserved)
 		_, err := io.Copy(io.Discard, body)
 		is.NoErr(err)
 		is.NoErr(body.Close())
 	}
-	for i := range 100 { // twenty seconds of 100,000 bytes a second, a quarter each of both kinds of answers
+	for i := range 100 { // twenty seconds of 100,000 bytes a second, a quarter of them each kind of large response
 		m.sent[Nodes].Add(20_000)
-		answer(true)
-		answer(false)
+		send(true)
+		send(false)
 		now := time.Duration(i+1) * 200 * time.Millisecond
 		m.UnbookedRate(now)
 		m.UnpacedRate(now)
 	}
-	unbooked, unpaced := m.UnbookedRate(20*time.Second), m.UnpacedRate(20*time.Second)
-	is.True(unbooked > 74_900 && unbooked < 75_100)
+	unreserved, unpaced := m.UnbookedRate(20*time.Second), m.UnpacedRate(20*time.Second)
+	is.True(unreserved > 74_900 && unreserved < 75_100)
 	is.True(unpaced > 49_900 && unpaced < 50_100)
 	is.Equal(m.AnswersSent(), int64(1_000_000))
-	var none *Meter
-	is.Equal(none.UnbookedRate(0)+none.UnpacedRate(0), 0.0)
-	is.NoErr(none.Answer(io.NopCloser(zeros{}), true).Close())
+	var nilMeter *Meter
+	is.Equal(nilMeter.UnbookedRate(0)+nilMeter.UnpacedRate(0), 0.0)
+	is.NoErr(nilMeter.Answer(io.NopCloser(zeros{}), true).Close())
 }
 
-// zeros is a body without end.
+// zeros is an endless body of zero bytes.
 type zeros struct{}
 
 // Read implements io.Reader.
