--- a/pkg/pipeline/bench_test.go
+++ b/pkg/pipeline/bench_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// BenchmarkServe is one call on a kept connection, answered with 200 bytes, by this package and by
-// net/http in one run.
+// BenchmarkServe measures one call with a response of 200 bytes on a persistent connection, with this package and
+// with net/http.
 func BenchmarkServe(b *testing.B) {
 	body := make([]byte, 200)
 	handler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(body) })
@@ -19,16 +19,16 @@
 		cfg.WriteTimeout = time.Minute
 		s := New(cfg)
 		defer s.Close()
-		callOneByOne(b, s.Serve)
+		benchmarkSequentialCalls(b, s.Serve)
 	})
 	b.Run("net-http", func(b *testing.B) {
 		s := &http.Server{Handler: handler, ReadHeaderTimeout: time.Second}
 		defer s.Close()
-		callOneByOne(b, s.Serve)
+		benchmarkSequentialCalls(b, s.Serve)
 	})
 }
 
-func callOneByOne(b *testing.B, serve func(net.Listener) error) {
+func benchmarkSequentialCalls(b *testing.B, serve func(net.Listener) error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
--- a/pkg/pipeline/body.go
+++ b/pkg/pipeline/body.go
@@ -10,14 +10,14 @@
 
 const (
 	continueLine = "HTTP/1.1 100 Continue\r\n\r\n"
-	// maxHeldBody is up to which declared length a body is read before its request is handled:
-	// the reader need not stand still for it, and goes on to notice a caller that leaves.
-	maxHeldBody = 16 << 10
+	// maxBufferedBody is the declared length up to which a body is read before its request is handled, so that
+	// the reader can continue and notice a disconnected caller.
+	maxBufferedBody = 16 << 10
 )
 
-// holdBody reads a short body, and returns false if it is none.
-func holdBody(r *http.Request) (held bool, err error) {
-	if r.ContentLength < 0 || r.ContentLength > maxHeldBody || expectsContinue(r) {
+// bufferBody reads a short body into memory; it returns false if the body is long or of unknown length.
+func bufferBody(r *http.Request) (buffered bool, err error) {
+	if r.ContentLength < 0 || r.ContentLength > maxBufferedBody || expectsContinue(r) {
 		return false, nil
 	}
 	data := make([]byte, r.ContentLength)
@@ -32,87 +32,87 @@
 	return r.ProtoAtLeast(1, 1) && strings.EqualFold(r.Header.Get("Expect"), "100-continue")
 }
 
-// requestBody is a long request's body on a connection that is read further behind it. The reader of
-// the connection stands still until the body was read.
+// requestBody is a body that the handler reads from the connection. The connection's reader waits until the body
+// has ended, because the next request follows it.
 type requestBody struct {
 	conn *conn
 	body io.ReadCloser
-	// declared is the length, negative if it is not known.
-	declared int64
-	// read is closed once the body was read whole or cannot be.
-	read chan struct{}
+	// contentLength is the body's declared length, negative if unknown.
+	contentLength int64
+	// readDone is closed once the body has been read completely or reading has failed.
+	readDone chan struct{}
 
 	mu sync.Mutex
-	// expects is set while the caller waits to be asked for the body.
-	expects bool
-	taken   int64
-	// err is what ended the reading: io.EOF if the body is whole.
+	// awaitsContinue is set while the caller waits for 100 Continue.
+	awaitsContinue bool
+	consumed       int64
+	// err is the error that ended reading: io.EOF if the body is complete.
 	err error
 }
 
 func newRequestBody(c *conn, r *http.Request) *requestBody {
 	return &requestBody{
-		conn: c, body: r.Body, declared: r.ContentLength, read: make(chan struct{}),
-		expects: expectsContinue(r),
+		conn: c, body: r.Body, contentLength: r.ContentLength, readDone: make(chan struct{}),
+		awaitsContinue: expectsContinue(r),
 	}
 }
 
-// Read implements io.Reader. It asks the caller for the body first where the caller expects so.
+// Read implements io.Reader. It first sends 100 Continue if the caller waits for it.
 func (b *requestBody) Read(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.err != nil {
 		return 0, b.err
 	}
-	if b.expects {
-		b.expects = false
+	if b.awaitsContinue {
+		b.awaitsContinue = false
 		if _, err := io.WriteString(b.conn, continueLine); err != nil {
-			return 0, b.end(err)
+			return 0, b.recordEnd(err)
 		}
 	}
 	if err := b.conn.setReadDeadline(); err != nil {
-		return 0, b.end(err)
+		return 0, b.recordEnd(err)
 	}
 	n, err := b.body.Read(p)
-	b.taken += int64(n)
+	b.consumed += int64(n)
 	if err != nil {
-		return n, b.end(err)
+		return n, b.recordEnd(err)
 	}
 	return n, nil
 }
 
-// end notes how the reading ended; the mutex is held.
-func (b *requestBody) end(err error) error {
+// recordEnd stores the error that ended reading; the mutex is held.
+func (b *requestBody) recordEnd(err error) error {
 	b.err = err
-	close(b.read)
+	close(b.readDone)
 	return err
 }
 
-// Close implements io.Closer. What is left is up to settle.
+// Close implements io.Closer. It does nothing: discardRest skips the unread rest.
 func (b *requestBody) Close() error { return nil }
 
-// complete reports whether the body was read whole.
+// complete reports whether the body has been read completely.
 func (b *requestBody) complete() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.err == io.EOF
 }
 
-// settle is called when the answer begins: it skips a rest that is here already. It returns
-// false if the next request cannot be found behind the body, so that the connection must close.
-func (b *requestBody) settle() bool {
+// discardRest is called when the response begins. It skips the rest of the body if that is already buffered, and
+// returns false if it is not, so that the connection must close.
+func (b *requestBody) discardRest() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.err != nil {
 		return b.err == io.EOF
 	}
-	left := b.declared - b.taken
-	if b.expects || b.declared < 0 || left > int64(b.conn.reader.Buffered()) {
+	remaining := b.contentLength - b.consumed
+	if b.awaitsContinue || b.contentLength < 0 || remaining > int64(b.conn.reader.Buffered()) {
 		return false
 	}
 	_, err := io.Copy(io.Discard, b.body)
 	if err == nil {
 		err = io.EOF
 	}
-	return b.end(err) == io.EOF
+	return b.recordEnd(err) == io.EOF
 }
--- a/pkg/pipeline/body_test.go
+++ b/pkg/pipeline/body_test.go
@@ -12,7 +12,8 @@
 	"github.com/matryer/is"
 )
 
-func TestBodies(t *testing.T) {
+// Bodies of each framing must be read exactly, so that the next request is found.
+func TestBodyFraming(t *testing.T) {
 	is := is.New(t)
 	_, address := serve(t, testConfig(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		data, err := io.ReadAll(r.Body)
@@ -27,7 +28,7 @@
 	c.send("POST /2 HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
 	c.get("/3")
 	for _, want := range []string{"/1 length", "/2 abcde", "/3 "} {
-		_, body := c.answer()
+		_, body := c.readResponse()
 		is.Equal(body, want)
 	}
 	c.send("POST /4 HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
@@ -36,17 +37,17 @@
 	is.Equal(line, "HTTP/1.1 100 Continue\r\n")
 	_, _ = c.reader.ReadString('\n')
 	c.send("ok")
-	_, body := c.answer()
+	_, body := c.readResponse()
 	is.Equal(body, "/4 ok")
-	// A broken body is answered, and nothing is read behind it.
+	// A malformed body gets a response, and nothing after it is read.
 	c.send("POST /5 HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nnot a length\r\n")
-	response, _ := c.answer()
+	response, _ := c.readResponse()
 	is.Equal(response.StatusCode, http.StatusBadRequest)
 	is.True(response.Close)
 }
 
-// The bytes of a body that was not read must not be taken for a request.
-func TestUnreadBodies(t *testing.T) {
+// The bytes of an unread body must not be parsed as a request.
+func TestUnreadBodyIsNotParsedAsARequest(t *testing.T) {
 	is := is.New(t)
 	var served atomic.Int32
 	_, address := serve(t, testConfig(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -56,20 +57,20 @@
 	c := dial(t, address)
 	hidden := "GET /hidden HTTP/1.1\r\nHost: a\r\n\r\n"
 	c.post("/short", hidden)
-	response, _ := c.answer()
+	response, _ := c.readResponse()
 	is.True(!response.Close)
-	long := strings.Repeat(hidden, maxHeldBody/len(hidden)+1)
+	long := strings.Repeat(hidden, maxBufferedBody/len(hidden)+1)
 	c.send(fmt.Sprintf("POST /long HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n", len(long)))
-	response, body := c.answer()
+	response, body := c.readResponse()
 	is.Equal(body, "/long")
 	is.True(response.Close)
 	c.send(long)
-	is.True(c.ended())
+	is.True(c.closedByServer())
 	is.Equal(served.Load(), int32(2))
 }
 
-// The time for a head does not bound a long body.
-func TestLongBodyMayTakeLongerThanAHead(t *testing.T) {
+// HeaderTimeout must bound each piece of a long body, not the body as a whole.
+func TestLongBodyMayTakeLongerThanHeaderTimeout(t *testing.T) {
 	is := is.New(t)
 	cfg := testConfig(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		n, err := io.Copy(io.Discard, r.Body)
@@ -85,12 +86,12 @@
 		time.Sleep(cfg.HeaderTimeout / 4)
 		c.send(strings.Repeat("x", piece))
 	}
-	_, body := c.answer()
+	_, body := c.readResponse()
 	is.Equal(body, fmt.Sprintf("%d <nil>", pieces*piece))
-	// One that does not come at all does not hold its connection for ever.
+	// A body that never arrives must not hold its connection open.
 	stuck := dial(t, address)
 	stuck.send(head)
-	response, _ := stuck.answer()
+	response, _ := stuck.readResponse()
 	is.True(response.Close)
-	is.True(stuck.ended())
+	is.True(stuck.closedByServer())
 }
--- a/pkg/pipeline/caller_test.go
+++ b/pkg/pipeline/caller_test.go
@@ -13,38 +13,39 @@
 	"time"
 )
 
-// testTimeout ends a test that hangs.
+// testTimeout bounds each wait of a test.
 const testTimeout = 5 * time.Second
 
-// desk answers requests when the test lets it.
-type desk struct {
-	mu      sync.Mutex
-	entered map[string]chan struct{}
-	release map[string]chan struct{}
-	left    map[string]chan struct{}
+// blockingHandler blocks each request until the test unblocks it, and records by path which requests started and
+// which were canceled.
+type blockingHandler struct {
+	mu       sync.Mutex
+	started  map[string]chan struct{}
+	release  map[string]chan struct{}
+	canceled map[string]chan struct{}
 }
 
-func newDesk() *desk {
-	return &desk{entered: map[string]chan struct{}{}, release: map[string]chan struct{}{}, left: map[string]chan struct{}{}}
+func newBlockingHandler() *blockingHandler {
+	return &blockingHandler{started: map[string]chan struct{}{}, release: map[string]chan struct{}{}, canceled: map[string]chan struct{}{}}
 }
 
-func (d *desk) channel(set map[string]chan struct{}, path string) chan struct{} {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (h *blockingHandler) channel(set map[string]chan struct{}, path string) chan struct{} {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	if set[path] == nil {
 		set[path] = make(chan struct{})
 	}
 	return set[path]
 }
 
-// ServeHTTP answers with the path once it is let go, or at once below /now.
-func (d *desk) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	close(d.channel(d.entered, r.URL.Path))
+// ServeHTTP responds with the path once it is unblocked, or immediately if the path starts with /now.
+func (h *blockingHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	close(h.channel(h.started, r.URL.Path))
 	if !strings.HasPrefix(r.URL.Path, "/now") {
 		select {
-		case <-d.channel(d.release, r.URL.Path):
+		case <-h.channel(h.release, r.URL.Path):
 		case <-r.Context().Done():
-			close(d.channel(d.left, r.URL.Path))
+			close(h.channel(h.canceled, r.URL.Path))
 			return
 		}
 	}
@@ -54,32 +55,34 @@
 	_, _ = io.WriteString(w, "answer to "+r.URL.Path)
 }
 
-func (d *desk) letGo(path string) { close(d.channel(d.release, path)) }
+func (h *blockingHandler) unblock(path string) { close(h.channel(h.release, path)) }
 
-func (d *desk) awaitEntered(t *testing.T, path string) {
+func (h *blockingHandler) awaitStarted(t *testing.T, path string) {
 	t.Helper()
-	await(t, d.channel(d.entered, path), path+" was not handled")
+	await(t, h.channel(h.started, path), path+" was not handled")
 }
 
-func (d *desk) hasEntered(path string) bool {
+// hasStarted reports whether the request starts within 50 ms.
+func (h *blockingHandler) hasStarted(path string) bool {
 	select {
-	case <-d.channel(d.entered, path):
+	case <-h.channel(h.started, path):
 		return true
 	case <-time.After(50 * time.Millisecond):
 		return false
 	}
 }
 
-func await(t *testing.T, c <-chan struct{}, complaint string) {
+// await fails the test with message if c is not closed within testTimeout.
+func await(t *testing.T, c <-chan struct{}, message string) {
 	t.Helper()
 	select {
 	case <-c:
 	case <-time.After(testTimeout):
-		t.Fatal(complaint)
+		t.Fatal(message)
 	}
 }
 
-// testConfig lets GET requests run beside each other.
+// testConfig returns a Config in which GET requests may run concurrently.
 func testConfig(handler http.Handler) Config {
 	return Config{
 		Handler: handler, Concurrent: func(r *http.Request) bool { return r.Method == http.MethodGet },
@@ -87,6 +90,7 @@
 	}
 }
 
+// serve starts a server on a local port and returns it with its address.
 func serve(t *testing.T, cfg Config) (*Server, string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -94,18 +98,18 @@
 		t.Fatal(err)
 	}
 	s := New(cfg)
-	ended := make(chan error, 1)
-	go func() { ended <- s.Serve(l) }()
+	served := make(chan error, 1)
+	go func() { served <- s.Serve(l) }()
 	t.Cleanup(func() {
 		s.Close()
-		if err := <-ended; !errors.Is(err, http.ErrServerClosed) {
-			t.Errorf("serving ended with %v", err)
+		if err := <-served; !errors.Is(err, http.ErrServerClosed) {
+			t.Errorf("Serve returned %v", err)
 		}
 	})
 	return s, l.Addr().String()
 }
 
-// caller is one connection.
+// caller is a test client with one connection.
 type caller struct {
 	t *testing.T
 	net.Conn
@@ -140,8 +144,8 @@
 	c.send(fmt.Sprintf("POST %s HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s", path, len(body), body))
 }
 
-// answer reads the next answer.
-func (c *caller) answer() (response *http.Response, body string) {
+// readResponse reads the next response.
+func (c *caller) readResponse() (response *http.Response, body string) {
 	c.t.Helper()
 	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
@@ -154,8 +158,8 @@
 	return response, string(data)
 }
 
-// ended reports whether the server closed the connection without a further byte.
-func (c *caller) ended() bool {
+// closedByServer reports whether the server closed the connection without sending further bytes.
+func (c *caller) closedByServer() bool {
 	data, err := io.ReadAll(c.reader)
 	return err == nil && len(data) == 0
 }
--- a/pkg/pipeline/conn.go
+++ b/pkg/pipeline/conn.go
@@ -12,55 +12,55 @@
 )
 
 const (
-	// readBuffer is for the heads of requests; longer ones get a larger buffer.
+	// readBuffer is the initial size of the read buffer, in bytes; longer heads get a larger one.
 	readBuffer = 4 << 10
-	// maxQueued bounds the requests of one connection that were read and not started.
+	// maxQueued bounds the requests of one connection that were read but not started.
 	maxQueued = 32
-	// lingerTime is for how long a connection that was closed towards the caller still reads:
-	// closing with unread bytes would reset it and could destroy the last answer.
+	// lingerTime is how long a connection is still read after its sending direction was closed: closing with
+	// unread bytes would reset it, and the caller could lose the last response.
 	lingerTime = 500 * time.Millisecond
 )
 
-// conn is one connection of a caller.
+// conn is the server side of a caller's connection.
 type conn struct {
 	server *Server
 	rwc    net.Conn
 	reader *bufio.Reader
-	// ctx ends when the caller has left or the connection was killed.
+	// ctx is canceled when the caller has disconnected or the connection was aborted.
 	ctx    context.Context
 	cancel context.CancelFunc
-	// requests counts those under way.
+	// requests counts the queued and running requests.
 	requests sync.WaitGroup
 
 	mu sync.Mutex
-	// queue are requests that were read and not started, running those under way, in the order
-	// in which they came.
+	// queue holds the requests that were read but not started, running those in flight, both in order of
+	// arrival.
 	queue   []*exchange
 	running []*exchange
-	// room wakes the reader when the queue has room again.
-	room *sync.Cond
-	// awaiting is set while the reader waits for the first byte of a request.
-	awaiting bool
-	// closing: the connection closes after the last request that was started; hungUp: it is
-	// closed towards the caller; dead: it has ended.
-	closing bool
-	hungUp  bool
-	dead    bool
+	// queueNotFull wakes the reader when the queue has a free slot.
+	queueNotFull *sync.Cond
+	// awaitingRequest is set while the reader waits for the first byte of a request.
+	awaitingRequest bool
+	// closing is set when the connection closes after the last started request, writeClosed when its sending
+	// direction is closed, closed when both directions are.
+	closing     bool
+	writeClosed bool
+	closed      bool
 }
 
 func newConn(s *Server, rwc net.Conn) *conn {
 	c := &conn{server: s, rwc: rwc, reader: bufio.NewReaderSize(rwc, readBuffer)}
-	c.room = sync.NewCond(&c.mu)
+	c.queueNotFull = sync.NewCond(&c.mu)
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	return c
 }
 
-// serve reads requests until the caller leaves or the connection closes.
+// serve reads requests until the caller disconnects or the connection closes.
 func (c *conn) serve() {
-	defer c.end()
+	defer c.abortAndWait()
 	for {
-		if err := c.readOne(); err != nil {
-			if c.mayLinger(err) {
+		if err := c.readNext(); err != nil {
+			if c.startLinger(err) {
 				_, _ = io.Copy(io.Discard, c.rwc)
 			}
 			return
@@ -68,16 +68,16 @@
 	}
 }
 
-// Why no further request is read.
+// Reasons to read no further request.
 var (
-	errLast   = errors.New("the caller sends nothing behind this request")
-	errClosed = errors.New("the connection closes")
-	errNoBody = errors.New("a request's body was not read whole")
+	errLastRequest = errors.New("the caller sends no further request")
+	errConnClosing = errors.New("the connection is closing")
+	errBodyUnread  = errors.New("the request body was not read completely")
 )
 
-// readOne reads one request and hands it on.
-func (c *conn) readOne() error {
-	if err := c.awaitFirst(); err != nil {
+// readNext reads one request and queues it.
+func (c *conn) readNext() error {
+	if err := c.awaitFirstByte(); err != nil {
 		return err
 	}
 	x, err := c.readRequest()
@@ -87,21 +87,21 @@
 	c.requests.Add(1)
 	if !c.enqueue(x) {
 		c.requests.Done()
-		return errClosed
+		return errConnClosing
 	}
 	if x.last {
-		return errLast
+		return errLastRequest
 	}
 	if x.body != nil && !c.awaitBody(x) {
-		return errNoBody
+		return errBodyUnread
 	}
 	return nil
 }
 
-// awaitFirst waits for the first byte of a request.
-func (c *conn) awaitFirst() error {
+// awaitFirstByte waits for the first byte of a request.
+func (c *conn) awaitFirstByte() error {
 	if c.reader.Buffered() == 0 {
-		if err := c.setAwaiting(); err != nil {
+		if err := c.startAwaiting(); err != nil {
 			return err
 		}
 		if _, err := c.reader.Peek(1); err != nil {
@@ -111,57 +111,57 @@
 	return c.setReadDeadline()
 }
 
-// setAwaiting notes that the reader waits, as long as it takes while requests are under way.
-func (c *conn) setAwaiting() error {
+// startAwaiting marks the reader as waiting for a request: without a limit while requests are in flight, otherwise
+// up to the idle timeout.
+func (c *conn) startAwaiting() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.hungUp || c.dead {
-		return errClosed
+	if c.writeClosed || c.closed {
+		return errConnClosing
 	}
-	c.awaiting = true
+	c.awaitingRequest = true
 	if len(c.running)+len(c.queue) > 0 {
 		return c.rwc.SetReadDeadline(time.Time{})
 	}
-	c.nowIdle()
+	c.onIdle()
 	return nil
 }
 
-// setReadDeadline starts the time for the rest of a head, or for the next bytes of a body.
+// setReadDeadline applies HeaderTimeout to the rest of a head or the next bytes of a body.
 func (c *conn) setReadDeadline() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.awaiting = false
-	if c.hungUp || c.dead {
-		return errClosed
+	c.awaitingRequest = false
+	if c.writeClosed || c.closed {
+		return errConnClosing
 	}
 	return c.rwc.SetReadDeadline(time.Now().Add(c.server.cfg.HeaderTimeout))
 }
 
-// nowIdle starts the time that a connection may rest, or closes it; the mutex is held. It does
-// neither while a request is being read.
-func (c *conn) nowIdle() {
-	if !c.awaiting || c.hungUp || c.dead {
+// onIdle starts the idle timeout, or closes a closing connection; the mutex is held. It does nothing while a
+// request is being read.
+func (c *conn) onIdle() {
+	if !c.awaitingRequest || c.writeClosed || c.closed {
 		return
 	}
 	if c.closing {
-		c.hangUp()
+		c.closeWriteSide()
 		return
 	}
 	_ = c.rwc.SetReadDeadline(time.Now().Add(c.server.cfg.IdleTimeout))
 }
 
-// awaitBody waits until a request's body was read: the next request comes behind it.
+// awaitBody waits until a request's body has ended, and reports whether it was read completely.
 func (c *conn) awaitBody(x *exchange) bool {
 	select {
-	case <-x.body.read:
+	case <-x.body.readDone:
 	case <-x.done:
 	case <-c.ctx.Done():
 	}
 	return x.body.complete()
 }
 
-// awaitTurn waits until all answers before this one are written. It returns false if the
-// connection ended first.
+// awaitTurn waits until all earlier responses are written. It returns false if the connection closes first.
 func (c *conn) awaitTurn(x *exchange) bool {
 	select {
 	case <-x.turn:
@@ -171,32 +171,31 @@
 	}
 }
 
-// drain closes the connection as soon as nothing is under way.
+// drain closes the connection once no request is queued or running.
 func (c *conn) drain() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closing = true
 	if len(c.running) == 0 && len(c.queue) == 0 {
-		c.nowIdle()
+		c.onIdle()
 	}
 }
 
-// hangUp closes the connection towards the caller, and leaves what came behind the last answer
-// unread; the mutex is held.
-func (c *conn) hangUp() {
-	if c.hungUp || c.dead {
+// closeWriteSide closes the sending direction and drops the queued requests; the mutex is held.
+func (c *conn) closeWriteSide() {
+	if c.writeClosed || c.closed {
 		return
 	}
-	c.hungUp = true
+	c.writeClosed = true
 	c.dropQueue()
-	if half, ok := c.rwc.(interface{ CloseWrite() error }); ok {
-		_ = half.CloseWrite()
+	if w, ok := c.rwc.(interface{ CloseWrite() error }); ok {
+		_ = w.CloseWrite()
 	}
 	_ = c.rwc.SetReadDeadline(time.Now().Add(lingerTime))
-	c.room.Signal()
+	c.queueNotFull.Signal()
 }
 
-// dropQueue forgets the requests that were not started; the mutex is held.
+// dropQueue discards the requests that were not started; the mutex is held.
 func (c *conn) dropQueue() {
 	for range c.queue {
 		c.requests.Done()
@@ -204,54 +203,54 @@
 	c.queue = nil
 }
 
-// mayLinger reports whether the connection is still read, though for no request: to notice a
-// caller that leaves while its last requests are under way, and so that a closed connection is
-// not reset. If not, the caller has left.
-func (c *conn) mayLinger(cause error) bool {
+// startLinger reports whether the connection must still be read and its input discarded: to notice that the caller
+// disconnects during its last requests, and to avoid a reset after closing. False means that the caller has
+// disconnected or the connection is closed.
+func (c *conn) startLinger(cause error) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case c.dead:
+	case c.closed:
 		return false
-	case c.hungUp:
+	case c.writeClosed:
 		return true
-	case errors.Is(cause, errLast) || errors.Is(cause, errNoBody):
+	case errors.Is(cause, errLastRequest) || errors.Is(cause, errBodyUnread):
 	case os.IsTimeout(cause):
-		// Nothing came in time.
+		// No request arrived in time.
 		c.closing = true
 	default:
 		return false
 	}
-	c.awaiting = true
+	c.awaitingRequest = true
 	_ = c.rwc.SetReadDeadline(time.Time{})
 	if c.closing && len(c.running)+len(c.queue) == 0 {
-		c.hangUp()
+		c.closeWriteSide()
 	}
 	return true
 }
 
-// end lets the handlers know that the caller has left, and waits for them.
-func (c *conn) end() {
-	c.kill()
+// abortAndWait aborts the connection, waits for its handlers and removes it from the server.
+func (c *conn) abortAndWait() {
+	c.abort()
 	c.requests.Wait()
-	c.server.forget(c)
+	c.server.removeConn(c)
 }
 
-// kill ends the connection at once.
-func (c *conn) kill() {
+// abort closes the connection immediately and cancels its requests' contexts.
+func (c *conn) abort() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.dead {
+	if c.closed {
 		return
 	}
-	c.dead = true
+	c.closed = true
 	c.cancel()
 	c.dropQueue()
 	c.rwc.Close()
-	c.room.Signal()
+	c.queueNotFull.Signal()
 }
 
-// Write sends a part of an answer.
+// Write sends part of a response, within WriteTimeout. A failed write aborts the connection.
 func (c *conn) Write(p []byte) (int, error) {
 	if c.server.cfg.WriteTimeout > 0 {
 		if err := c.rwc.SetWriteDeadline(time.Now().Add(c.server.cfg.WriteTimeout)); err != nil {
@@ -260,7 +259,7 @@
 	}
 	n, err := c.rwc.Write(p)
 	if err != nil {
-		c.kill()
+		c.abort()
 	}
 	return n, err
 }
--- a/pkg/pipeline/fuzz_test.go
+++ b/pkg/pipeline/fuzz_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// FuzzRequests sends a stream of bytes in two pieces. Whatever comes back must be whole answers,
-// and the connection must end when the caller has sent all.
+// FuzzRequests sends a stream of bytes in two pieces. The server must send complete responses only, and must
+// close the connection.
 func FuzzRequests(f *testing.F) {
 	f.Add([]byte("GET / HTTP/1.1\r\nHost: a\r\n\r\nGET /2 HTTP/1.1\r\nHost: a\r\n\r\n"), 7)
 	f.Add([]byte("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabcGET / HTTP/1.1\r\nHost: a\r\n\r\n"), 50)
@@ -42,28 +42,28 @@
 			_, _ = c.Write(data[:at])
 			_, _ = c.Write(data[at:])
 		}()
-		answers, err := io.ReadAll(c)
+		received, err := io.ReadAll(c)
 		if err != nil {
-			t.Fatalf("the connection did not end: %v", err)
+			t.Fatalf("the connection was not closed: %v", err)
 		}
-		reader := bufio.NewReader(bytes.NewReader(answers))
+		reader := bufio.NewReader(bytes.NewReader(received))
 		for {
 			if _, err := reader.Peek(1); err != nil {
 				return
 			}
 			line, err := reader.Peek(9)
 			if err != nil || string(line) != "HTTP/1.1 " {
-				t.Fatalf("not an answer: %q", answers)
+				t.Fatalf("not a response: %q", received)
 			}
 			response, err := http.ReadResponse(reader, nil)
 			if err != nil {
-				t.Fatalf("not an answer: %v in %q", err, answers)
+				t.Fatalf("not a response: %v in %q", err, received)
 			}
 			if bytes.Contains(data, []byte("HEAD")) {
 				return
 			}
 			if _, err := io.Copy(io.Discard, response.Body); err != nil {
-				t.Fatalf("an answer is not whole: %v in %q", err, answers)
+				t.Fatalf("incomplete response: %v in %q", err, received)
 			}
 		}
 	})
--- a/pkg/pipeline/head.go
+++ b/pkg/pipeline/head.go
@@ -12,29 +12,29 @@
 	"golang.org/x/net/http/httpguts"
 )
 
-// Errors of reading a request's head.
+// Errors of reading a request's head. Their texts are sent to the caller.
 var (
 	errHeadTooLarge = errors.New("the head of the request is too large")
-	errHost         = errors.New("a request has just one Host header")
+	errHostHeader   = errors.New("a request has just one Host header")
 	errHeaderValue  = errors.New("a header has a value that must not be sent")
 	errVersion      = errors.New("the protocol's version is not supported")
 )
 
-// readRequest reads a request's head, and a short body. A request that cannot be understood is answered so in its
-// turn; an error is returned if there is nobody to answer.
+// readRequest reads a request's head and a short body. An invalid request gets a handler that responds with the
+// error in its turn. An error is returned if the connection cannot be read.
 func (c *conn) readRequest() (*exchange, error) {
-	head, err := c.awaitHead()
+	head, err := c.peekHead()
 	if err != nil && !errors.Is(err, errHeadTooLarge) {
 		return nil, err
 	}
 	var r *http.Request
 	if err == nil {
-		r, err = parse(c.reader, head)
+		r, err = parseRequest(c.reader, head)
 	}
-	x := &exchange{conn: c, turn: make(chan struct{}), done: make(chan struct{}), arrived: time.Now()}
+	x := &exchange{conn: c, turn: make(chan struct{}), done: make(chan struct{}), readAt: time.Now()}
 	if err != nil {
 		x.request = &http.Request{Method: http.MethodGet, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Header: http.Header{}, Body: http.NoBody}
-		x.handler, x.last = refuse(statusOf(err), err), true
+		x.handler, x.last = errorHandler(errorStatus(err), err), true
 		return x, nil
 	}
 	r.RemoteAddr = c.rwc.RemoteAddr().String()
@@ -45,24 +45,24 @@
 		x.concurrent = c.server.cfg.Concurrent != nil && c.server.cfg.Concurrent(x.request)
 		return x, nil
 	}
-	held, err := holdBody(x.request)
+	buffered, err := bufferBody(x.request)
 	if err != nil {
 		return nil, fmt.Errorf("read the body of a request from %s: %w", c.rwc.RemoteAddr(), err)
 	}
-	if !held {
+	if !buffered {
 		x.body = newRequestBody(c, r)
 		x.request.Body = x.body
 	}
 	return x, nil
 }
 
-// awaitHead returns a request's head once it is in the buffer whole, without taking it out.
-func (c *conn) awaitHead() ([]byte, error) {
+// peekHead waits until the buffer holds a complete head and returns it without consuming it.
+func (c *conn) peekHead() ([]byte, error) {
 	c.skipEmptyLines()
 	searched := 0
 	for {
 		buffered, _ := c.reader.Peek(c.reader.Buffered())
-		if end := endOfHead(buffered, searched); end > 0 {
+		if end := headLength(buffered, searched); end > 0 {
 			if end > c.server.cfg.MaxHeaderBytes {
 				return nil, errHeadTooLarge
 			}
@@ -82,7 +82,7 @@
 	}
 }
 
-// skipEmptyLines takes out what some callers send behind a body (RFC 9112, 2.2).
+// skipEmptyLines discards empty lines, which some callers send after a body (RFC 9112, section 2.2).
 func (c *conn) skipEmptyLines() {
 	for c.reader.Buffered() > 0 {
 		first, _ := c.reader.Peek(1)
@@ -93,19 +93,19 @@
 	}
 }
 
-// growBuffer makes room for a head as long as is allowed.
+// growBuffer replaces the read buffer by one that fits a head of MaxHeaderBytes.
 func (c *conn) growBuffer(buffered []byte) {
-	held := bytes.Clone(buffered)
+	copied := bytes.Clone(buffered)
 	size := c.server.cfg.MaxHeaderBytes + readBuffer
-	c.reader = bufio.NewReaderSize(io.MultiReader(bytes.NewReader(held), c.rwc), size)
-	_, _ = c.reader.Peek(len(held))
+	c.reader = bufio.NewReaderSize(io.MultiReader(bytes.NewReader(copied), c.rwc), size)
+	_, _ = c.reader.Peek(len(copied))
 }
 
-// endOfHead returns the length of a head, zero if its end is not there. The first bytes were
-// searched before.
-func endOfHead(data []byte, searched int) int {
-	const longest = len("\n\r\n") - 1
-	for from := max(0, searched-longest); ; {
+// headLength returns the length of the head at the start of data, zero if its end is missing. The first searched
+// bytes contain no end.
+func headLength(data []byte, searched int) int {
+	const overlap = len("\n\r\n") - 1
+	for from := max(0, searched-overlap); ; {
 		at := bytes.IndexByte(data[from:], '\n')
 		if at < 0 {
 			return 0
@@ -121,10 +121,10 @@
 	}
 }
 
-// parse reads a request whose head is in the buffer, and checks what http.ReadRequest leaves to
+// parseRequest reads a request whose head is in the buffer, and makes the checks that http.ReadRequest leaves to
 // servers.
-func parse(reader *bufio.Reader, head []byte) (*http.Request, error) {
-	hosts := countHosts(head)
+func parseRequest(reader *bufio.Reader, head []byte) (*http.Request, error) {
+	hosts := countHostHeaders(head)
 	r, err := http.ReadRequest(reader)
 	if err != nil {
 		return nil, err
@@ -133,7 +133,7 @@
 		return nil, errVersion
 	}
 	if hosts > 1 || (hosts == 0 && r.ProtoAtLeast(1, 1)) || !httpguts.ValidHostHeader(r.Host) {
-		return nil, errHost
+		return nil, errHostHeader
 	}
 	for _, values := range r.Header {
 		for _, value := range values {
@@ -145,8 +145,8 @@
 	return r, nil
 }
 
-// countHosts counts the Host headers of a head.
-func countHosts(head []byte) int {
+// countHostHeaders returns the number of Host headers, which http.ReadRequest does not report.
+func countHostHeaders(head []byte) int {
 	const name = "host:"
 	count := 0
 	for line := range bytes.Lines(head) {
@@ -157,8 +157,8 @@
 	return count
 }
 
-// statusOf returns the status that tells a caller what is wrong with its request.
-func statusOf(err error) int {
+// errorStatus returns the HTTP status for an error of readRequest.
+func errorStatus(err error) int {
 	switch {
 	case errors.Is(err, errHeadTooLarge):
 		return http.StatusRequestHeaderFieldsTooLarge
@@ -168,7 +168,7 @@
 	return http.StatusBadRequest
 }
 
-// refuse answers a request that could not be read. It is its connection's last one.
-func refuse(status int, err error) http.Handler {
+// errorHandler responds to a request that could not be parsed, the last one of its connection.
+func errorHandler(status int, err error) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { http.Error(w, err.Error(), status) })
 }
--- a/pkg/pipeline/head_test.go
+++ b/pkg/pipeline/head_test.go
@@ -9,7 +9,8 @@
 	"github.com/matryer/is"
 )
 
-func TestRequestsThatCannotBeUnderstood(t *testing.T) {
+// Invalid requests must get an error status and close the connection, without reaching the handler.
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	long := strings.Repeat("x", 20<<10)
 	for name, test := range map[string]struct {
 		text   string
@@ -32,15 +33,16 @@
 			})))
 			c := dial(t, address)
 			c.send(test.text)
-			response, _ := c.answer()
+			response, _ := c.readResponse()
 			is.Equal(response.StatusCode, test.status)
 			is.True(response.Close)
-			is.True(c.ended())
+			is.True(c.closedByServer())
 		})
 	}
 }
 
-func TestLongHeadsWithinTheBound(t *testing.T) {
+// Heads longer than the initial buffer must be read without losing the next request.
+func TestHeadsLongerThanTheReadBuffer(t *testing.T) {
 	is := is.New(t)
 	_, address := serve(t, testConfig(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprintf(w, "%d %s", len(r.Header.Get("X")), r.URL.Path)
@@ -50,9 +52,9 @@
 	for range 2 {
 		c.send("GET /long HTTP/1.1\r\nHost: a\r\nX: " + long + "\r\n\r\n")
 		c.get("/behind")
-		_, body := c.answer()
+		_, body := c.readResponse()
 		is.Equal(body, "9000 /long")
-		_, body = c.answer()
+		_, body = c.readResponse()
 		is.Equal(body, "0 /behind")
 	}
 }
--- a/pkg/pipeline/order.go
+++ b/pkg/pipeline/order.go
@@ -7,47 +7,45 @@
 	"time"
 )
 
-// noticeableWait is from which wait on a handler is told of it.
-const noticeableWait = time.Millisecond
+// minReportedWait is the shortest wait that Waited reports.
+const minReportedWait = time.Millisecond
 
 type waitedKey struct{}
 
-// Waited returns for how long a request waited behind others of its connection before its handler
-// was called.
+// Waited returns how long a request waited behind others of its connection before its handler was called, zero
+// if the wait was below a millisecond.
 func Waited(r *http.Request) time.Duration {
 	waited, _ := r.Context().Value(waitedKey{}).(time.Duration)
 	return waited
 }
 
-// exchange is one request and its answer.
+// exchange is one request and its response.
 type exchange struct {
 	conn    *conn
 	request *http.Request
-	// handler answers the request: the server's, or one that refuses a request which could
-	// not be read.
+	// handler is the server's handler, or one that responds with an error to an invalid request.
 	handler http.Handler
-	arrived time.Time
-	// concurrent requests are handled beside others.
+	readAt  time.Time
+	// concurrent is set if the request may run at the same time as others.
 	concurrent bool
-	// last is set if the caller sends nothing behind the request.
+	// last is set if no further request is read after this one.
 	last bool
 	body *requestBody
-	// turn is closed when all answers before this one are written, done when this one is.
+	// turn is closed when all earlier responses are written, done when the exchange has ended.
 	turn chan struct{}
 	done chan struct{}
-	// closeAfter is set once the answer says that the connection closes; it is the last one.
+	// closeAfter is set if this response is the last of the connection and announces the close.
 	closeAfter bool
 }
 
-// enqueue takes in a request that was read. It waits while too many are ahead of it, and
-// returns false if the connection takes no more.
+// enqueue queues a request, after waiting while the queue is full. It returns false if the connection is closed.
 func (c *conn) enqueue(x *exchange) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for len(c.queue) >= maxQueued && !c.hungUp && !c.dead {
-		c.room.Wait()
+	for len(c.queue) >= maxQueued && !c.writeClosed && !c.closed {
+		c.queueNotFull.Wait()
 	}
-	if c.hungUp || c.dead {
+	if c.writeClosed || c.closed {
 		return false
 	}
 	c.queue = append(c.queue, x)
@@ -55,10 +53,9 @@
 	return true
 }
 
-// dispatch starts the requests whose time has come; the mutex is held. A connection that is
-// about to close starts one more only if nothing is under way that could say so.
+// dispatch starts the queued requests that may run; the mutex is held.
 func (c *conn) dispatch() {
-	for len(c.queue) > 0 && c.mayStart(c.queue[0]) {
+	for len(c.queue) > 0 && c.canStart(c.queue[0]) {
 		x := c.queue[0]
 		c.queue = slices.Delete(c.queue, 0, 1)
 		c.running = append(c.running, x)
@@ -67,12 +64,14 @@
 		}
 		go x.run()
 	}
-	c.room.Signal()
+	c.queueNotFull.Signal()
 }
 
-func (c *conn) mayStart(x *exchange) bool {
+// canStart reports whether the next queued request may run. A closing connection starts another one only if no
+// response in flight announced the close.
+func (c *conn) canStart(x *exchange) bool {
 	switch {
-	case c.hungUp || c.dead:
+	case c.writeClosed || c.closed:
 		return false
 	case len(c.running) == 0:
 		return true
@@ -82,18 +81,17 @@
 	return x.concurrent && c.running[0].concurrent && len(c.running) < c.server.cfg.MaxConcurrent
 }
 
-// commitClose decides, when an answer's head is written, whether the connection closes after it.
-// The wish to close is kept until the last request that was started is answered: those under way
-// behind this one are answered, too.
-func (c *conn) commitClose(x *exchange, wish bool) bool {
+// commitClose decides, when a response's head is written, whether the connection closes after it. The close is
+// deferred to the last started request, so that all requests in flight get a response.
+func (c *conn) commitClose(x *exchange, wantClose bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.closing = c.closing || wish
+	c.closing = c.closing || wantClose
 	x.closeAfter = c.closing && len(c.running) == 1
 	return x.closeAfter
 }
 
-// finish ends an exchange and lets the next ones go on.
+// finish ends an exchange, unblocks the next response and starts queued requests.
 func (c *conn) finish(x *exchange) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -105,41 +103,40 @@
 		}
 	}
 	if x.closeAfter {
-		c.hangUp()
+		c.closeWriteSide()
 		return
 	}
 	c.dispatch()
 	if len(c.running) == 0 && len(c.queue) == 0 {
-		c.nowIdle()
+		c.onIdle()
 	}
 }
 
-// run handles the request and completes its answer.
+// run handles the request and completes its response.
 func (x *exchange) run() {
 	c := x.conn
 	defer c.requests.Done()
 	defer c.finish(x)
-	if waited := time.Since(x.arrived); waited >= noticeableWait {
+	if waited := time.Since(x.readAt); waited >= minReportedWait {
 		x.request = x.request.WithContext(context.WithValue(c.ctx, waitedKey{}, waited))
 	}
-	// What nobody waits for must not reach a back end: a node that stood still finds requests whose callers
-	// have left meanwhile, and starts them before its reader is at the end of their connections. The look
-	// is one system call.
-	if c.callerLeft() {
-		c.kill()
+	// After a pause of the process the caller may have disconnected without the reader having noticed. Such a
+	// request must not reach a back end.
+	if c.callerDisconnected() {
+		c.abort()
 		return
 	}
 	w := newResponse(x)
 	if !x.handle(w) {
-		c.kill()
+		c.abort()
 		return
 	}
 	if err := w.finish(); err != nil {
-		c.kill()
+		c.abort()
 	}
 }
 
-// handle calls the handler. It returns false if the handler gave up.
+// handle calls the handler. It returns false if the handler panicked.
 func (x *exchange) handle(w http.ResponseWriter) (complete bool) {
 	defer func() {
 		if complete {
@@ -149,7 +146,7 @@
 		if value != http.ErrAbortHandler && x.conn.server.cfg.OnPanic != nil {
 			x.conn.server.cfg.OnPanic(value)
 		}
-		// Answers before this one are still whole.
+		// Earlier responses must be complete before the connection is aborted.
 		x.conn.awaitTurn(x)
 	}()
 	x.handler.ServeHTTP(w, x.request)
--- a/pkg/pipeline/order_test.go
+++ b/pkg/pipeline/order_test.go
@@ -9,129 +9,132 @@
 	"github.com/matryer/is"
 )
 
-func TestSafeRequestsRunSideBySideAndAreAnsweredInOrder(t *testing.T) {
+// Concurrent requests must be answered in order of arrival, whichever handler returns first.
+func TestConcurrentRequestsAreAnsweredInOrder(t *testing.T) {
 	is := is.New(t)
-	d := newDesk()
-	_, address := serve(t, testConfig(d))
+	h := newBlockingHandler()
+	_, address := serve(t, testConfig(h))
 	c := dial(t, address)
 	c.get("/1")
 	c.get("/2")
 	c.get("/3")
 	for _, path := range []string{"/1", "/2", "/3"} {
-		d.awaitEntered(t, path)
+		h.awaitStarted(t, path)
 	}
-	d.letGo("/3")
-	d.letGo("/2")
-	d.letGo("/1")
+	h.unblock("/3")
+	h.unblock("/2")
+	h.unblock("/1")
 	for _, path := range []string{"/1", "/2", "/3"} {
-		response, body := c.answer()
+		response, body := c.readResponse()
 		is.Equal(response.StatusCode, http.StatusOK)
 		is.Equal(body, "answer to "+path)
 	}
 }
 
-func TestRequestsOfOneConnectionAreBounded(t *testing.T) {
+// A connection must not run more than MaxConcurrent requests.
+func TestConcurrentRequestsOfOneConnectionAreBounded(t *testing.T) {
 	is := is.New(t)
-	d := newDesk()
-	_, address := serve(t, testConfig(d))
+	h := newBlockingHandler()
+	_, address := serve(t, testConfig(h))
 	c := dial(t, address)
 	for i := range 6 {
 		c.get(fmt.Sprintf("/%d", i))
 	}
-	d.awaitEntered(t, "/3")
-	is.True(!d.hasEntered("/4"))
-	d.letGo("/0")
-	d.awaitEntered(t, "/4")
-	is.True(!d.hasEntered("/5"))
+	h.awaitStarted(t, "/3")
+	is.True(!h.hasStarted("/4"))
+	h.unblock("/0")
+	h.awaitStarted(t, "/4")
+	is.True(!h.hasStarted("/5"))
 }
 
-func TestUnsafeRequestRunsAlone(t *testing.T) {
+// A request that must run at most once must not overlap with any other.
+func TestNonConcurrentRequestRunsAlone(t *testing.T) {
 	is := is.New(t)
-	d := newDesk()
-	_, address := serve(t, testConfig(d))
+	h := newBlockingHandler()
+	_, address := serve(t, testConfig(h))
 	c := dial(t, address)
 	c.get("/1")
 	c.post("/2", "body")
 	c.get("/3")
-	d.awaitEntered(t, "/1")
-	is.True(!d.hasEntered("/2"))
-	is.True(!d.hasEntered("/3"))
-	d.letGo("/1")
-	d.awaitEntered(t, "/2")
-	is.True(!d.hasEntered("/3")) // not while the one before it is under way
-	d.letGo("/2")
-	d.awaitEntered(t, "/3")
-	d.letGo("/3")
+	h.awaitStarted(t, "/1")
+	is.True(!h.hasStarted("/2"))
+	is.True(!h.hasStarted("/3"))
+	h.unblock("/1")
+	h.awaitStarted(t, "/2")
+	is.True(!h.hasStarted("/3")) // not while the one before it is in flight
+	h.unblock("/2")
+	h.awaitStarted(t, "/3")
+	h.unblock("/3")
 	for _, path := range []string{"/1", "/2", "/3"} {
-		_, body := c.answer()
+		_, body := c.readResponse()
 		is.Equal(body, "answer to "+path)
 	}
 }
 
-// An unsafe request behind an answer that closes the connection must not have begun.
-func TestNothingUnsafeBeginsBehindAnAnswerThatCloses(t *testing.T) {
+// A request that must run at most once must not start after a response that closes the connection.
+func TestNonConcurrentRequestDoesNotStartAfterAClosingResponse(t *testing.T) {
 	is := is.New(t)
-	d := newDesk()
-	_, address := serve(t, testConfig(d))
+	h := newBlockingHandler()
+	_, address := serve(t, testConfig(h))
 	c := dial(t, address)
 	c.get("/1?close")
 	c.post("/2", "body")
-	d.awaitEntered(t, "/1")
-	d.letGo("/1")
-	response, body := c.answer()
+	h.awaitStarted(t, "/1")
+	h.unblock("/1")
+	response, body := c.readResponse()
 	is.Equal(body, "answer to /1")
 	is.True(response.Close)
-	is.True(c.ended())
-	is.True(!d.hasEntered("/2"))
+	is.True(c.closedByServer())
+	is.True(!h.hasStarted("/2"))
 }
 
-// What was begun is answered, also behind an answer that asks for the end.
-func TestRequestsUnderWayAreAnsweredBeforeTheConnectionCloses(t *testing.T) {
+// Requests in flight must get a response even if an earlier response asks to close the connection.
+func TestRequestsInFlightAreAnsweredBeforeTheConnectionCloses(t *testing.T) {
 	is := is.New(t)
-	d := newDesk()
-	_, address := serve(t, testConfig(d))
+	h := newBlockingHandler()
+	_, address := serve(t, testConfig(h))
 	c := dial(t, address)
 	c.get("/1?close")
 	c.get("/2")
-	d.awaitEntered(t, "/1")
-	d.awaitEntered(t, "/2")
-	d.letGo("/1")
-	first, _ := c.answer()
+	h.awaitStarted(t, "/1")
+	h.awaitStarted(t, "/2")
+	h.unblock("/1")
+	first, _ := c.readResponse()
 	is.True(!first.Close)
-	c.get("/3") // comes after the end was decided
-	d.letGo("/2")
-	second, body := c.answer()
+	c.get("/3") // sent after the decision to close
+	h.unblock("/2")
+	second, body := c.readResponse()
 	is.Equal(body, "answer to /2")
 	is.True(second.Close)
-	is.True(c.ended())
-	is.True(!d.hasEntered("/3"))
+	is.True(c.closedByServer())
+	is.True(!h.hasStarted("/3"))
 }
 
-// A handler that panics ends its connection, but not the answers before its own.
-func TestPanicEndsTheConnectionInItsTurn(t *testing.T) {
+// A panic must close the connection only after the earlier responses.
+func TestPanicClosesTheConnectionAfterEarlierResponses(t *testing.T) {
 	is := is.New(t)
-	told := make(chan any, 1)
-	d := newDesk()
+	panics := make(chan any, 1)
+	h := newBlockingHandler()
 	cfg := testConfig(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/panic" {
 			panic("fault")
 		}
-		d.ServeHTTP(w, r)
+		h.ServeHTTP(w, r)
 	}))
-	cfg.OnPanic = func(value any) { told <- value }
+	cfg.OnPanic = func(value any) { panics <- value }
 	_, address := serve(t, cfg)
 	c := dial(t, address)
 	c.get("/1")
 	c.get("/panic")
-	is.Equal(<-told, "fault")
-	d.letGo("/1")
-	_, body := c.answer()
+	is.Equal(<-panics, "fault")
+	h.unblock("/1")
+	_, body := c.readResponse()
 	is.Equal(body, "answer to /1")
-	is.True(c.ended())
+	is.True(c.closedByServer())
 }
 
-// The time that a request waited behind others is told to its handler.
-func TestWaitedIsTold(t *testing.T) {
+// Waited must return the time that a request waited behind others.
+func TestWaitedReturnsTheWaitBehindOtherRequests(t *testing.T) {
 	is := is.New(t)
 	waited := make(chan time.Duration, 2)
 	_, address := serve(t, testConfig(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -141,8 +144,8 @@
 	c := dial(t, address)
 	c.post("/1", "")
 	c.post("/2", "")
-	_, _ = c.answer()
-	_, _ = c.answer()
+	_, _ = c.readResponse()
+	_, _ = c.readResponse()
 	is.True(<-waited < 20*time.Millisecond)
 	is.True(<-waited >= 20*time.Millisecond)
 }
--- a/pkg/pipeline/response.go
+++ b/pkg/pipeline/response.go
@@ -15,59 +15,59 @@
 
 const (
 	writeBuffer = 4 << 10
-	// maxUnframed is up to which length an answer without a declared length is held back, so
-	// that it gets one.
-	maxUnframed = 2 << 10
+	// maxBufferedResponse is the size up to which a response without a declared length is buffered, so that its
+	// Content-Length can be set.
+	maxBufferedResponse = 2 << 10
 )
 
-// Errors of answers.
+// Errors of writing a response.
 var (
-	errConnectionEnded = errors.New("the caller's connection has ended")
-	errAnswerCutShort  = errors.New("the handler wrote less than it declared")
+	errConnClosed        = errors.New("the caller's connection is closed")
+	errResponseTruncated = errors.New("the handler wrote less than its Content-Length")
 )
 
 var writers = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, writeBuffer) }}
 
-// response writes the answer of one exchange. It implements http.ResponseWriter, and FlushError
-// for http.ResponseController.
+// response writes the response of one exchange. It implements http.ResponseWriter, and FlushError for
+// http.ResponseController.
 type response struct {
 	x      *exchange
 	header http.Header
 	status int
-	// held is what was written before the head.
-	held []byte
-	// committed is set once the head is on its way; out is what the rest goes to.
+	// buffered is the part of the body written before the head was sent.
+	buffered []byte
+	// committed is set once the head is being written; out receives the body after that.
 	committed bool
 	w         *bufio.Writer
 	out       io.Writer
 	chunks    io.WriteCloser
-	// declared is the length of the body, negative for none; written counts it.
-	declared int64
-	written  int64
-	err      error
+	// contentLength is the Content-Length, negative if not set; written counts the body bytes.
+	contentLength int64
+	written       int64
+	err           error
 }
 
 func newResponse(x *exchange) *response {
-	return &response{x: x, header: http.Header{}, declared: -1}
+	return &response{x: x, header: http.Header{}, contentLength: -1}
 }
 
 // Header implements http.ResponseWriter.
 func (r *response) Header() http.Header { return r.header }
 
-// WriteHeader implements http.ResponseWriter. Informational answers are not passed on.
+// WriteHeader implements http.ResponseWriter. Informational (1xx) responses are ignored.
 func (r *response) WriteHeader(status int) {
 	if r.status != 0 || status < http.StatusOK {
 		return
 	}
 	r.status = status
 	if length, err := strconv.ParseInt(r.header.Get("Content-Length"), 10, 64); err == nil && length >= 0 {
-		r.declared = length
+		r.contentLength = length
 		return
 	}
 	delete(r.header, "Content-Length")
 }
 
-// Write implements http.ResponseWriter.
+// Write implements http.ResponseWriter. It blocks until the response's turn once the buffer is full.
 func (r *response) Write(p []byte) (int, error) {
 	if r.status == 0 {
 		r.WriteHeader(http.StatusOK)
@@ -75,11 +75,11 @@
 	if !r.hasBody() {
 		return len(p), nil
 	}
-	if r.declared >= 0 && r.written+int64(len(p)) > r.declared {
+	if r.contentLength >= 0 && r.written+int64(len(p)) > r.contentLength {
 		return 0, http.ErrContentLength
 	}
-	if !r.committed && r.declared < 0 && len(r.held)+len(p) <= maxUnframed {
-		r.held = append(r.held, p...)
+	if !r.committed && r.contentLength < 0 && len(r.buffered)+len(p) <= maxBufferedResponse {
+		r.buffered = append(r.buffered, p...)
 		r.written += int64(len(p))
 		return len(p), nil
 	}
@@ -91,7 +91,7 @@
 	return n, err
 }
 
-// FlushError sends what was written so far.
+// FlushError sends what was written so far, after waiting for the response's turn.
 func (r *response) FlushError() error {
 	if r.status == 0 {
 		r.WriteHeader(http.StatusOK)
@@ -102,51 +102,51 @@
 	return r.w.Flush()
 }
 
-// hasBody reports whether the answer may have a body.
+// hasBody reports whether the response may have a body.
 func (r *response) hasBody() bool {
 	return r.x.request.Method != http.MethodHead && r.status != http.StatusNoContent && r.status != http.StatusNotModified
 }
 
-// commit waits for the answer's turn and writes its head.
+// commit waits for the response's turn and writes its head.
 func (r *response) commit() error {
 	if r.committed || r.err != nil {
 		return r.err
 	}
 	if !r.x.conn.awaitTurn(r.x) {
-		r.err = errConnectionEnded
+		r.err = errConnClosed
 		return r.err
 	}
 	r.committed = true
 	r.w = writers.Get().(*bufio.Writer)
 	r.w.Reset(r.x.conn)
-	r.frame()
+	r.setFraming()
 	r.writeHead()
 	r.out = r.w
 	if r.chunks != nil {
 		r.out = r.chunks
 	}
-	_, err := r.out.Write(r.held)
-	r.held = nil
+	_, err := r.out.Write(r.buffered)
+	r.buffered = nil
 	return err
 }
 
-// frame decides how the end of the answer is found, and whether the connection stays open.
-func (r *response) frame() {
+// setFraming sets the headers for the body's length and for keeping or closing the connection.
+func (r *response) setFraming() {
 	delete(r.header, "Transfer-Encoding")
-	wish := r.x.last || httpguts.HeaderValuesContainsToken(r.header["Connection"], "close")
-	if r.x.body != nil && !r.x.body.settle() {
-		wish = true
+	wantClose := r.x.last || httpguts.HeaderValuesContainsToken(r.header["Connection"], "close")
+	if r.x.body != nil && !r.x.body.discardRest() {
+		wantClose = true
 	}
-	if r.declared < 0 && r.hasBody() {
+	if r.contentLength < 0 && r.hasBody() {
 		if r.x.request.ProtoAtLeast(1, 1) {
 			r.header.Set("Transfer-Encoding", "chunked")
 			r.chunks = httputil.NewChunkedWriter(r.w)
 		} else {
-			wish = true
+			wantClose = true
 		}
 	}
 	delete(r.header, "Connection")
-	if r.x.conn.commitClose(r.x, wish) {
+	if r.x.conn.commitClose(r.x, wantClose) {
 		r.header.Set("Connection", "close")
 	}
 }
@@ -164,21 +164,21 @@
 	r.w.WriteString("\r\n")
 }
 
-// finish completes the answer. An error says that it cannot be.
+// finish completes the response. An error means that it is incomplete and the connection must be aborted.
 func (r *response) finish() error {
-	defer r.free()
+	defer r.release()
 	if r.status == 0 {
 		r.WriteHeader(http.StatusOK)
 	}
-	if !r.committed && r.declared < 0 && r.hasBody() {
-		r.declared = int64(len(r.held))
-		r.header.Set("Content-Length", strconv.Itoa(len(r.held)))
+	if !r.committed && r.contentLength < 0 && r.hasBody() {
+		r.contentLength = int64(len(r.buffered))
+		r.header.Set("Content-Length", strconv.Itoa(len(r.buffered)))
 	}
 	if err := r.commit(); err != nil {
 		return err
 	}
-	if r.declared >= 0 && r.hasBody() && r.written < r.declared {
-		return errAnswerCutShort
+	if r.contentLength >= 0 && r.hasBody() && r.written < r.contentLength {
+		return errResponseTruncated
 	}
 	if r.chunks != nil {
 		_ = r.chunks.Close()
@@ -187,7 +187,8 @@
 	return r.w.Flush()
 }
 
-func (r *response) free() {
+// release returns the writer to the pool.
+func (r *response) release() {
 	if r.w == nil {
 		return
 	}
--- a/pkg/pipeline/response_test.go
+++ b/pkg/pipeline/response_test.go
@@ -9,7 +9,8 @@
 	"github.com/matryer/is"
 )
 
-func TestFramingOfAnswers(t *testing.T) {
+// The framing of each response must let the caller find its end and notice a truncated one.
+func TestResponseFraming(t *testing.T) {
 	is := is.New(t)
 	_, address := serve(t, testConfig(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
@@ -31,27 +32,27 @@
 	})))
 	c := dial(t, address)
 	c.get("/short")
-	response, body := c.answer()
+	response, body := c.readResponse()
 	is.Equal(response.ContentLength, int64(5))
 	is.Equal(body, "short")
 	is.True(response.Header.Get("Date") != "")
 	c.get("/long")
-	response, body = c.answer()
+	response, body = c.readResponse()
 	is.Equal(response.TransferEncoding, []string{"chunked"})
 	is.Equal(len(body), 10000)
 	c.get("/none")
-	response, _ = c.answer()
+	response, _ = c.readResponse()
 	is.Equal(response.StatusCode, http.StatusNoContent)
 	c.get("/declared")
-	_, body = c.answer()
+	_, body = c.readResponse()
 	is.Equal(body, "declared")
-	old := dial(t, address)
-	old.send("GET /long HTTP/1.0\r\n\r\n")
-	response, body = old.answer()
+	http10 := dial(t, address)
+	http10.send("GET /long HTTP/1.0\r\n\r\n")
+	response, body = http10.readResponse()
 	is.Equal(len(response.TransferEncoding), 0)
 	is.Equal(len(body), 10000)
 	is.True(response.Close)
-	// An answer that was cut short must not look complete.
+	// A truncated response must not look complete.
 	c.get("/lies")
 	response, err := http.ReadResponse(c.reader, nil)
 	if err == nil {
@@ -60,7 +61,8 @@
 	is.True(err != nil)
 }
 
-func TestHeadAnswersHaveNoBody(t *testing.T) {
+// A response to HEAD must not have a body, which the caller would parse as the next response.
+func TestResponsesToHeadHaveNoBody(t *testing.T) {
 	is := is.New(t)
 	_, address := serve(t, testConfig(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "5")
@@ -72,6 +74,6 @@
 	response, err := http.ReadResponse(c.reader, &http.Request{Method: http.MethodHead})
 	is.NoErr(err)
 	is.Equal(response.ContentLength, int64(5))
-	_, body := c.answer()
+	_, body := c.readResponse()
 	is.Equal(body, "words")
 }
--- a/pkg/pipeline/server.go
+++ b/pkg/pipeline/server.go
@@ -11,35 +11,32 @@
 )
 
 const (
-	// acceptPause is how long the server waits after an accept that failed, for example
-	// for lack of descriptors.
-	acceptPause = 20 * time.Millisecond
-	// shutdownPoll is how often Shutdown looks for connections that are left.
-	shutdownPoll = 20 * time.Millisecond
+	// acceptRetryDelay is the delay after a failed accept, for example without free file descriptors.
+	acceptRetryDelay = 20 * time.Millisecond
+	// shutdownPollInterval is the interval at which Shutdown checks for open connections.
+	shutdownPollInterval = 20 * time.Millisecond
 )
 
-// Config sets up a Server.
+// Config holds a Server's settings.
 type Config struct {
 	Handler http.Handler
-	// Concurrent reports whether a request without a body may be handled beside others of
-	// its connection: it may run more than once. Nil is for none.
+	// Concurrent reports whether a request without a body may be handled at the same time as others of its
+	// connection, because it may run more than once. Nil means that none may.
 	Concurrent func(*http.Request) bool
-	// MaxConcurrent bounds the requests of one connection that are handled at once.
+	// MaxConcurrent bounds the requests of one connection that are handled at the same time; at least 1.
 	MaxConcurrent int
-	// HeaderTimeout is for the head of a request from its first byte, and for each further
-	// piece of its body; IdleTimeout for a connection without a request, WriteTimeout for
-	// each write to a caller.
+	// HeaderTimeout bounds reading a head from its first byte, and each read of a body. IdleTimeout bounds the
+	// time without a request, WriteTimeout each write to a caller (zero means no limit).
 	HeaderTimeout time.Duration
 	IdleTimeout   time.Duration
 	WriteTimeout  time.Duration
-	// MaxHeaderBytes bounds the head of a request.
+	// MaxHeaderBytes bounds the size of a request's head.
 	MaxHeaderBytes int
-	// OnPanic, if set, is told of a handler that panicked with anything but
-	// http.ErrAbortHandler.
+	// OnPanic, if set, is called with the value of a handler's panic, except http.ErrAbortHandler.
 	OnPanic func(value any)
 }
 
-// Server serves connections. It is safe for concurrent use.
+// Server serves the connections of its listeners. It is safe for concurrent use.
 type Server struct {
 	cfg Config
 
@@ -50,13 +47,14 @@
 	closed    bool
 }
 
-// New returns a server that listens nowhere yet.
+// New returns a server without listeners; see Serve.
 func New(cfg Config) *Server {
 	cfg.MaxConcurrent = max(1, cfg.MaxConcurrent)
 	return &Server{cfg: cfg, listeners: map[net.Listener]struct{}{}, conns: map[*conn]struct{}{}}
 }
 
-// Serve accepts connections until Shutdown or Close, and then returns http.ErrServerClosed.
+// Serve accepts connections until Shutdown or Close, and then returns http.ErrServerClosed. It returns another error
+// if the listener was closed otherwise.
 func (s *Server) Serve(l net.Listener) error {
 	if !s.addListener(l) {
 		l.Close()
@@ -74,7 +72,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return fmt.Errorf("accept on %s: %w", l.Addr(), err)
 		}
-		time.Sleep(acceptPause)
+		time.Sleep(acceptRetryDelay)
 	}
 }
 
@@ -113,13 +111,13 @@
 	go c.serve()
 }
 
-func (s *Server) forget(c *conn) {
+func (s *Server) removeConn(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
 }
 
-func (s *Server) held() []*conn {
+func (s *Server) openConns() []*conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all := make([]*conn, 0, len(s.conns))
@@ -138,16 +136,16 @@
 	}
 }
 
-// Shutdown accepts nothing more, closes each connection after its last answer, and returns when
-// none is left or the context ends.
+// Shutdown closes the listeners, and each connection after its last response. It returns when no connection is
+// open, or with the context's error.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.closeListeners()
-	for _, c := range s.held() {
+	for _, c := range s.openConns() {
 		c.drain()
 	}
-	ticker := time.NewTicker(shutdownPoll)
+	ticker := time.NewTicker(shutdownPollInterval)
 	defer ticker.Stop()
-	for len(s.held()) > 0 {
+	for len(s.openConns()) > 0 {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -157,14 +155,14 @@
 	return nil
 }
 
-// Close ends everything at once.
+// Close closes the listeners and all connections immediately.
 func (s *Server) Close() error {
 	s.closeListeners()
 	s.mu.Lock()
 	s.closed = true
 	s.mu.Unlock()
-	for _, c := range s.held() {
-		c.kill()
+	for _, c := range s.openConns() {
+		c.abort()
 	}
 	return nil
 }
--- a/pkg/pipeline/server_test.go
+++ b/pkg/pipeline/server_test.go
@@ -9,58 +9,59 @@
 	"github.com/matryer/is"
 )
 
-func TestShutdownEndsIdleConnectionsAndAnswersTheOthers(t *testing.T) {
+// Shutdown must close idle connections, and complete the responses of the others.
+func TestShutdownClosesIdleConnectionsAndCompletesTheOthers(t *testing.T) {
 	is := is.New(t)
-	d := newDesk()
-	s, address := serve(t, testConfig(d))
+	h := newBlockingHandler()
+	s, address := serve(t, testConfig(h))
 	unused, idle, busy := dial(t, address), dial(t, address), dial(t, address)
 	idle.get("/now/1")
-	_, _ = idle.answer()
+	_, _ = idle.readResponse()
 	busy.get("/1")
 	busy.get("/2")
-	d.awaitEntered(t, "/2")
+	h.awaitStarted(t, "/2")
 	ended := make(chan error, 1)
 	go func() { ended <- s.Shutdown(context.Background()) }()
-	is.True(unused.ended())
-	is.True(idle.ended())
+	is.True(unused.closedByServer())
+	is.True(idle.closedByServer())
 	unused.Close()
 	idle.Close()
 	awaitDraining(t, s)
-	d.letGo("/1")
-	d.letGo("/2")
-	first, _ := busy.answer()
-	second, _ := busy.answer()
+	h.unblock("/1")
+	h.unblock("/2")
+	first, _ := busy.readResponse()
+	second, _ := busy.readResponse()
 	is.True(!first.Close)
 	is.True(second.Close)
-	is.True(busy.ended())
+	is.True(busy.closedByServer())
 	busy.Close()
 	is.NoErr(<-ended)
 }
 
-// awaitDraining waits until a shutdown has reached each connection that is left: it comes to them one
-// after the other, in no order.
+// awaitDraining waits until Shutdown has marked every open connection as closing, which it does in no fixed order.
 func awaitDraining(t *testing.T, s *Server) {
 	t.Helper()
 	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
-		left := slices.ContainsFunc(s.held(), func(c *conn) bool {
+		pending := slices.ContainsFunc(s.openConns(), func(c *conn) bool {
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			return !c.closing
 		})
-		if !left {
+		if !pending {
 			return
 		}
 	}
-	t.Fatal("a connection was not told to close")
+	t.Fatal("a connection is not draining")
 }
 
-func TestShutdownGivesUpWithItsContext(t *testing.T) {
+// Shutdown must return when its context ends, even with requests in flight.
+func TestShutdownReturnsWhenItsContextEnds(t *testing.T) {
 	is := is.New(t)
-	d := newDesk()
-	s, address := serve(t, testConfig(d))
+	h := newBlockingHandler()
+	s, address := serve(t, testConfig(h))
 	c := dial(t, address)
 	c.get("/1")
-	d.awaitEntered(t, "/1")
+	h.awaitStarted(t, "/1")
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
 	is.Equal(s.Shutdown(ctx), context.DeadlineExceeded)
