--- a/pkg/raft/election.go
+++ b/pkg/raft/election.go
@@ -13,7 +13,7 @@
 		n.vote = 0
 	}
 	if n.role == Leader {
-		// The deadline is stale: a leader does not keep it.
+		// A leader does not maintain its election deadline.
 		n.resetElectionDeadline(now)
 	}
 	n.role = Follower
@@ -22,11 +22,10 @@
 	n.progress = nil
 }
 
-// startPreVote asks the others whether an election could be won. Nothing durable
-// changes, so a replica that was cut off does not disturb a working leader.
-//
-// It asks again soon, long before an election timeout: those who are asked may be about to
-// start, or just not yet allowed to vote.
+// startPreVote asks the other voters whether this replica could win an election. It changes no
+// durable state, so a replica that returns from a partition does not depose a working leader.
+// It retries after one to two heartbeat intervals, since the other voters may still be starting
+// or not yet be allowed to vote.
 func (n *Node) startPreVote(now time.Duration) {
 	n.electionDeadline = now + n.config.HeartbeatInterval + n.heartbeatJitter()
 	n.role = PreCandidate
@@ -69,8 +68,8 @@
 		return
 	}
 	switch {
-	case n.role == PreCandidate && n.yields(now):
-		n.yield(now)
+	case n.role == PreCandidate && n.shouldDefer(now):
+		n.deferElection(now)
 		return
 	case n.role == PreCandidate:
 		n.startElection(now)
@@ -87,20 +86,20 @@
 	n.heartbeatDue = now
 	n.progress = map[ReplicaID]*progress{}
 	n.ensureProgress()
-	// An empty entry of the new term lets everything before it be committed.
+	// Committing this empty entry of the new term also commits all entries before it.
 	n.termStart = n.log.lastIndex() + 1
 	n.log.append(Entry{Term: n.term, Index: n.termStart, Kind: EntryCommand})
-	n.unsent = true
+	n.broadcastPending = true
 }
 
-// mayVote reports whether the vote barrier has passed: no leader can hold a lease
-// that counts on this replica's silence.
+// mayVote reports whether this replica may grant votes: no leader can still hold a lease that
+// relies on its acknowledgements.
 func (n *Node) mayVote(now time.Duration) bool {
-	return n.role != Leader && now >= n.voteBarrier
+	return n.role != Leader && now >= n.voteAllowedAt
 }
 
 func (n *Node) handlePreVote(now time.Duration, m Message) {
-	n.noteRival(now, m)
+	n.recordPreVoteRequest(now, m)
 	if !n.mayVote(now) {
 		return
 	}
@@ -113,8 +112,8 @@
 }
 
 func (n *Node) handleVote(now time.Duration, m Message) {
-	free := n.vote == 0 || n.vote == m.From
-	granted := free && n.mayVote(now) && n.log.upToDate(m.Index, m.LogTerm)
+	voteAvailable := n.vote == 0 || n.vote == m.From
+	granted := voteAvailable && n.mayVote(now) && n.log.upToDate(m.Index, m.LogTerm)
 	if granted {
 		n.vote = m.From
 		n.resetElectionDeadline(now)
--- a/pkg/raft/lease.go
+++ b/pkg/raft/lease.go
@@ -2,18 +2,20 @@
 
 import "time"
 
-// confirmation dates, on a follower's own clock, how current it is.
+// confirmation tracks how current a follower's applied state is, in readings of the follower's
+// own clock.
 type confirmation struct {
-	// at is the newest own clock reading that a leader with a valid lease echoed;
-	// the state is at least that new once commit is applied.
+	// at is the newest SentAt of this replica that a leader with a valid lease has echoed. Once
+	// commit is applied, the state includes everything committed by then.
 	at     time.Duration
 	commit uint64
-	// settledAt is the newest reading whose commit has been applied.
-	settledAt time.Duration
-	settled   bool
+	// appliedAt is the newest such reading whose commit index has been applied; valid if
+	// hasApplied is set.
+	appliedAt  time.Duration
+	hasApplied bool
 }
 
-func (c *confirmation) offer(m Message) {
+func (c *confirmation) observe(m Message) {
 	if !m.Confirmed || m.EchoAt <= c.at {
 		return
 	}
@@ -21,15 +23,15 @@
 	c.commit = m.Commit
 }
 
-func (c *confirmation) settle(applied uint64) {
+func (c *confirmation) markApplied(applied uint64) {
 	if c.at > 0 && applied >= c.commit {
-		c.settledAt = c.at
-		c.settled = true
+		c.appliedAt = c.at
+		c.hasApplied = true
 	}
 }
 
-// quorumAckedAt returns the newest clock reading by which a majority of voters is
-// known to have recognised this leader.
+// quorumAckedAt returns the newest send time on the leader's clock that a quorum of voters has
+// acknowledged. The leader itself counts as acknowledging now.
 func (n *Node) quorumAckedAt(now time.Duration) time.Duration {
 	var acked []time.Duration
 	for _, id := range n.Membership().Voters() {
@@ -50,16 +52,17 @@
 	return n.log.commit >= n.termStart
 }
 
-// leaseDuration is how long after a confirmed heartbeat no other leader can arise,
-// measured on this replica's clock. A voter's clock may run fast and this one
-// slow, each by MaxClockDrift.
+// leaseDuration returns how long after an acknowledged send no other leader can be elected, on
+// this replica's clock: one election timeout, shortened in case a voter's clock is fast and
+// this one slow, each by MaxClockDrift.
 func (n *Node) leaseDuration() time.Duration {
 	drift := n.config.MaxClockDrift
 	return time.Duration(float64(n.config.ElectionTimeout) * (1 - drift) / (1 + drift))
 }
 
-// LeaseValid reports whether this replica is a leader that no other can have
-// replaced yet and that knows everything committed before its term.
+// LeaseValid reports whether this replica is a leader with an unexpired lease that has
+// committed an entry of its own term. No other leader can have committed anything that this
+// replica does not know.
 func (n *Node) LeaseValid(now time.Duration) bool {
 	if n.role != Leader || !n.committedInTerm() {
 		return false
@@ -68,37 +71,37 @@
 	return acked > 0 && now < acked+n.leaseDuration()
 }
 
-// ConfirmedAt returns the newest reading of this replica's clock for which its
-// applied state is known to include everything committed by then, and false when
-// there is none yet. On a leader whose lease holds that is now, since nobody else
-// can have committed anything; on a follower, the time of its own last word that
-// such a leader echoed.
+// ConfirmedAt returns the newest reading of this replica's clock at which its applied state is
+// known to include everything committed, and false if there is none yet. For a leader with a
+// valid lease that is now; for a follower, the send time of its newest message that such a
+// leader echoed.
 func (n *Node) ConfirmedAt(now time.Duration) (time.Duration, bool) {
 	if n.LeaseValid(now) && n.log.applied >= n.log.commit {
 		return now, true
 	}
-	n.confirmation.settle(n.log.applied)
-	return n.confirmation.settledAt, n.confirmation.settled
+	n.confirmation.markApplied(n.log.applied)
+	return n.confirmation.appliedAt, n.confirmation.hasApplied
 }
 
-// Alive reports whether the leader heard from a replica within the election timeout.
-// A new leader gives every replica that long to speak first.
+// Alive reports whether the leader received a response from a replica within the election
+// timeout. During the first election timeout of its leadership every replica counts as alive.
 func (n *Node) Alive(now time.Duration, id ReplicaID) bool {
-	return now-n.becameLeaderAt < n.config.ElectionTimeout || n.answersNow(now, id)
+	return now-n.becameLeaderAt < n.config.ElectionTimeout || n.respondedRecently(now, id)
 }
 
-// SilentFor returns how long this leader has not heard from a replica, counted from when
-// it first addressed it at the earliest.
-func (n *Node) SilentFor(now time.Duration, id ReplicaID) time.Duration {
+// SinceLastContact returns the time since a replica last acknowledged a message of this leader
+// or, if it never did, since the leader first sent it one. It is zero for the leader itself and
+// for a replica to which nothing has been sent.
+func (n *Node) SinceLastContact(now time.Duration, id ReplicaID) time.Duration {
 	p, found := n.progress[id]
-	if id == n.config.ID || !found || p.addressedAt == 0 {
+	if id == n.config.ID || !found || p.firstSentAt == 0 {
 		return 0
 	}
-	return now - max(p.ackedAt, p.addressedAt)
+	return now - max(p.ackedAt, p.firstSentAt)
 }
 
-// HeardLeaderAt returns when this replica last heard from a leader, or was one itself;
-// zero for never.
+// HeardLeaderAt returns when this replica last received a message from a leader, or now if it
+// is the leader; zero if never.
 func (n *Node) HeardLeaderAt(now time.Duration) time.Duration {
 	if n.role == Leader {
 		return now
@@ -106,9 +109,9 @@
 	return n.heardLeaderAt
 }
 
-// answersNow reports whether a replica has answered this leader within the election
-// timeout.
-func (n *Node) answersNow(now time.Duration, id ReplicaID) bool {
+// respondedRecently reports whether a replica has acknowledged a message that this leader sent
+// within the last election timeout.
+func (n *Node) respondedRecently(now time.Duration, id ReplicaID) bool {
 	if id == n.config.ID {
 		return true
 	}
--- a/pkg/raft/log.go
+++ b/pkg/raft/log.go
@@ -2,23 +2,22 @@
 
 import "fmt"
 
-// entryLog is the replicated log as one replica holds it: a snapshot and the
-// entries after it.
+// entryLog is one replica's copy of the replicated log: a snapshot and the entries after it.
 type entryLog struct {
-	// snapshot is the newest one; its entries may still be in entries, kept for
-	// followers that are a little behind.
+	// snapshot is the newest snapshot. Entries that it covers may remain in entries for
+	// followers that lag slightly.
 	snapshot Snapshot
-	// prevIndex and prevTerm name the entry before entries[0].
+	// prevIndex and prevTerm identify the entry before entries[0].
 	prevIndex uint64
 	prevTerm  uint64
 	entries   []Entry
 
-	// persisted is the highest index known to be durable here.
+	// persisted is the highest index known to be durable on this replica.
 	persisted uint64
 	commit    uint64
 	applied   uint64
-	// handedOut is the highest committed index given out in Effects.
-	handedOut uint64
+	// delivered is the highest committed index returned in Effects.
+	delivered uint64
 }
 
 func (l *entryLog) lastIndex() uint64 {
@@ -30,7 +29,7 @@
 	return term
 }
 
-// term returns the term of an entry, and false when the log does not hold it.
+// term returns the term of the entry at index, and false if the log does not contain it.
 func (l *entryLog) term(index uint64) (uint64, bool) {
 	if index == l.prevIndex {
 		return l.prevTerm, true
@@ -41,8 +40,8 @@
 	return l.entries[index-l.prevIndex-1].Term, true
 }
 
-// slice returns the entries from index on, up to maxBytes of data but at least
-// one.
+// slice returns the entries starting at from, with up to maxBytes of data but at least one
+// entry.
 func (l *entryLog) slice(from uint64, maxBytes int) []Entry {
 	if from <= l.prevIndex || from > l.lastIndex() {
 		return nil
@@ -58,7 +57,7 @@
 	return rest[:len(rest):len(rest)]
 }
 
-// between returns the entries in (after, upTo].
+// between returns the entries in (after, upTo], or nil if some of them have been compacted.
 func (l *entryLog) between(after, upTo uint64) []Entry {
 	if upTo <= after || after < l.prevIndex {
 		return nil
@@ -70,19 +69,18 @@
 	l.entries = append(l.entries, entries...)
 }
 
-// truncateFrom drops the entries from index on. Dropping a committed entry would
-// break the log-matching invariant, so it panics.
+// truncateFrom drops the entries from index on. It panics if one of them is committed.
 func (l *entryLog) truncateFrom(index uint64) {
 	if index <= l.commit {
-		panic(fmt.Sprintf("raft: truncation at %d of committed entries up to %d", index, l.commit))
+		panic(fmt.Sprintf("raft: truncation at index %d would drop committed entries up to index %d", index, l.commit))
 	}
 	kept := index - l.prevIndex - 1
 	l.entries = l.entries[:kept:kept]
 	l.persisted = min(l.persisted, index-1)
 }
 
-// upToDate reports whether a log that ends with the given entry holds at least as
-// much as this one (section 5.4.1 of the paper).
+// upToDate reports whether a log with the given last entry is at least as up to date as this
+// one (section 5.4.1 of the paper).
 func (l *entryLog) upToDate(lastIndex, lastTerm uint64) bool {
 	if lastTerm != l.lastTerm() {
 		return lastTerm > l.lastTerm()
@@ -90,7 +88,7 @@
 	return lastIndex >= l.lastIndex()
 }
 
-// restore replaces the whole log by a snapshot.
+// restore replaces the whole log with a snapshot.
 func (l *entryLog) restore(s Snapshot) {
 	l.snapshot = s
 	l.prevIndex = s.Index
@@ -98,20 +96,20 @@
 	l.entries = nil
 	l.persisted = s.Index
 	l.commit = s.Index
-	l.handedOut = s.Index
+	l.delivered = s.Index
 	l.applied = s.Index
 }
 
-// compact remembers s as the newest snapshot and drops the entries that are more
-// than keep positions older than it.
+// compact sets s as the newest snapshot and drops the entries more than keep positions before
+// it.
 func (l *entryLog) compact(s Snapshot, keep uint64) {
 	l.snapshot = s
 	if s.Index < l.prevIndex+keep+1 {
 		return
 	}
 	newPrev := s.Index - keep
-	term, held := l.term(newPrev)
-	if !held {
+	term, found := l.term(newPrev)
+	if !found {
 		return
 	}
 	rest := l.entries[newPrev-l.prevIndex:]
--- a/pkg/raft/membership.go
+++ b/pkg/raft/membership.go
@@ -6,29 +6,30 @@
 	"slices"
 )
 
-// Member is one replica as the membership knows it.
+// Member describes one replica in the membership.
 type Member struct {
 	ID ReplicaID
-	// Name is the machine's name; it stays when a lost disk is replaced and the
-	// ID changes.
+	// Name is the machine's name. It stays the same when a lost disk is replaced, while ID
+	// changes.
 	Name string
-	// Address is where the other replicas reach it.
+	// Address is where other replicas connect to this one.
 	Address string
 	Zone    string
-	// Interface is where the replica answers operators' calls, for those that another
-	// replica sends on; empty if it is not known.
+	// Interface is the address of the replica's operator API, to which other replicas forward
+	// operators' requests; empty if unknown.
 	Interface string
-	// Learner receives the log but neither votes nor counts for a quorum.
+	// Learner is set for a replica that receives the log but neither votes nor counts toward a
+	// quorum.
 	Learner bool
 }
 
-// Membership is the set of replicas of the cluster. It takes effect as soon as it
-// stands in a replica's log, committed or not.
+// Membership is the set of replicas of the cluster. Each replica uses the newest membership in
+// its log, committed or not.
 type Membership struct {
 	Members []Member
 }
 
-// Find returns the member with the given ID.
+// Find returns the member with the given ID, and false if there is none.
 func (m Membership) Find(id ReplicaID) (Member, bool) {
 	for _, member := range m.Members {
 		if member.ID == id {
@@ -38,7 +39,7 @@
 	return Member{}, false
 }
 
-// IsVoter reports whether id votes.
+// IsVoter reports whether id is a voting member.
 func (m Membership) IsVoter(id ReplicaID) bool {
 	member, found := m.Find(id)
 	return found && !member.Learner
@@ -55,18 +56,18 @@
 	return voters
 }
 
-// Quorum is the number of voters that make a majority.
+// Quorum returns the number of voters that form a majority.
 func (m Membership) Quorum() int {
 	return len(m.Voters())/2 + 1
 }
 
-// WithLearner returns a copy in which member has joined as a learner.
+// WithLearner returns a copy with member added as a learner.
 func (m Membership) WithLearner(member Member) Membership {
 	member.Learner = true
 	return Membership{Members: append(slices.Clone(m.Members), member)}
 }
 
-// WithPromoted returns a copy in which the learner id votes.
+// WithPromoted returns a copy in which the learner id is a voter.
 func (m Membership) WithPromoted(id ReplicaID) Membership {
 	members := slices.Clone(m.Members)
 	for i := range members {
@@ -77,7 +78,8 @@
 	return Membership{Members: members}
 }
 
-// WithUpdated returns a copy that describes a member as given; whether it votes stays.
+// WithUpdated returns a copy in which updated replaces the member with the same ID, except that
+// the member's Learner field keeps its value.
 func (m Membership) WithUpdated(updated Member) Membership {
 	members := slices.Clone(m.Members)
 	for i := range members {
@@ -89,7 +91,7 @@
 	return Membership{Members: members}
 }
 
-// Without returns a copy without id.
+// Without returns a copy without the member id.
 func (m Membership) Without(id ReplicaID) Membership {
 	members := slices.DeleteFunc(slices.Clone(m.Members), func(member Member) bool {
 		return member.ID == id
@@ -117,7 +119,7 @@
 	return json.Marshal(m)
 }
 
-// DecodeMembership reads the data of an EntryMembership entry.
+// DecodeMembership decodes the data of an EntryMembership entry.
 func DecodeMembership(data []byte) (Membership, error) {
 	var m Membership
 	if err := json.Unmarshal(data, &m); err != nil {
@@ -126,14 +128,14 @@
 	return m, nil
 }
 
-// indexedMembership is a membership and the log index that brought it.
+// indexedMembership is a membership and the index of the log entry that contains it.
 type indexedMembership struct {
 	index      uint64
 	membership Membership
 }
 
-// membershipHistory holds the memberships in the log, oldest first, so that a
-// truncation of the log can take an uncommitted one back.
+// membershipHistory holds the memberships in the log, oldest first, so that truncating the log
+// can revert an uncommitted one.
 type membershipHistory struct {
 	items []indexedMembership
 }
@@ -146,7 +148,7 @@
 	h.items = append(h.items, indexedMembership{index: index, membership: m})
 }
 
-// truncateFrom forgets the memberships brought by entries from index on.
+// truncateFrom drops the memberships of the entries from index on.
 func (h *membershipHistory) truncateFrom(index uint64) {
 	for len(h.items) > 1 && h.current().index >= index {
 		h.items = h.items[:len(h.items)-1]
@@ -164,7 +166,7 @@
 	return found
 }
 
-// compactTo drops the memberships that a later one up to index replaces.
+// compactTo drops the memberships that a later one, up to index, supersedes.
 func (h *membershipHistory) compactTo(index uint64) {
 	for len(h.items) > 1 && h.items[1].index <= index {
 		h.items = h.items[1:]
--- a/pkg/raft/message.go
+++ b/pkg/raft/message.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// ReplicaID names one replica for the life of its disk. Zero means none.
+// ReplicaID identifies one replica for the lifetime of its disk. Zero means none.
 type ReplicaID uint64
 
-// EntryKind tells what a log entry carries.
+// EntryKind is the type of a log entry's data.
 type EntryKind uint8
 
 const (
-	// EntryCommand carries a command of the state machine; Data may be empty in
-	// the entry by which a new leader commits its term.
+	// EntryCommand carries a state machine command. Data is empty in the entry that a new
+	// leader appends at the start of its term.
 	EntryCommand EntryKind = iota
 	// EntryMembership carries an encoded Membership.
 	EntryMembership
 )
 
-// Entry is one position of the replicated log.
+// Entry is one entry of the replicated log.
 type Entry struct {
 	Term  uint64
 	Index uint64
@@ -24,15 +24,16 @@
 	Data  []byte
 }
 
-// HardState is what a replica must remember over a restart. Term and Vote must be
-// durable before any message of the same batch is sent; Commit may lag.
+// HardState is what a replica must preserve across restarts. Term and Vote must be durable
+// before any message of the same batch is sent; Commit may lag.
 type HardState struct {
 	Term   uint64
 	Vote   ReplicaID
 	Commit uint64
 }
 
-// Snapshot replaces every log entry up to and including Index.
+// Snapshot is the applied state at Index. It replaces every log entry up to and including
+// Index.
 type Snapshot struct {
 	Index      uint64
 	Term       uint64
@@ -40,38 +41,39 @@
 	Data       []byte
 }
 
-// MessageKind tells what a Message asks or answers.
+// MessageKind is the type of a Message.
 type MessageKind uint8
 
 const (
-	// MessagePreVote asks whether an election could be won, without a new term.
+	// MessagePreVote asks whether the sender could win an election, without starting a new
+	// term.
 	MessagePreVote MessageKind = iota + 1
-	// MessagePreVoteResponse answers MessagePreVote.
+	// MessagePreVoteResponse is the response to MessagePreVote.
 	MessagePreVoteResponse
-	// MessageVote asks for a vote in the sender's term.
+	// MessageVote requests a vote in the sender's term.
 	MessageVote
-	// MessageVoteResponse answers MessageVote.
+	// MessageVoteResponse is the response to MessageVote.
 	MessageVoteResponse
 	// MessageAppend carries entries, or none as a heartbeat.
 	MessageAppend
-	// MessageAppendResponse answers MessageAppend and MessageSnapshot.
+	// MessageAppendResponse is the response to MessageAppend and MessageSnapshot.
 	MessageAppendResponse
-	// MessageSnapshot carries a snapshot to a replica that is too far behind.
+	// MessageSnapshot carries a snapshot to a replica for which the log is already compacted.
 	MessageSnapshot
 )
 
-// Message goes from one replica to another. Messages may be lost, repeated,
-// delayed and reordered.
+// Message is sent from one replica to another. Messages may be lost, duplicated, delayed and
+// reordered.
 type Message struct {
 	Kind MessageKind
 	From ReplicaID
 	To   ReplicaID
 	Term uint64
 
-	// Index and LogTerm name the entry before Entries in MessageAppend, and the
-	// last entry of the candidate's log in the vote requests. In
-	// MessageAppendResponse, Index is the highest index known to match or, with
-	// Reject, a hint where the logs may still agree.
+	// Index and LogTerm identify the entry before Entries in MessageAppend, and the last entry
+	// of the candidate's log in vote requests. In MessageAppendResponse, Index is the highest
+	// index known to match or, with Reject, a hint at the index up to which the logs may still
+	// agree.
 	Index   uint64
 	LogTerm uint64
 	Commit  uint64
@@ -80,32 +82,31 @@
 	Snapshot *Snapshot
 	Reject   bool
 
-	// SentAt is the sender's clock. EchoAt repeats the newest SentAt the sender
-	// has from the receiver, so that each side can date what the other has
-	// confirmed on its own clock.
+	// SentAt is the sender's clock reading. EchoAt is the last SentAt that the sender received
+	// from the receiver, so that each side can relate acknowledgements to its own clock.
 	SentAt time.Duration
 	EchoAt time.Duration
-	// Session is a number the sender drew when its process started, and
-	// EchoSession the receiver's that goes with EchoAt: a clock reading of an
-	// earlier process must not date anything in a later one.
+	// Session is a random number that identifies the sender's process run. EchoSession is the
+	// receiver's session that EchoAt belongs to: clock readings of different process runs are
+	// not comparable.
 	Session     uint64
 	EchoSession uint64
-	// Confirmed is set by a leader whose lease held when it sent the message: no
-	// other leader had committed anything beyond Commit at EchoAt.
+	// Confirmed is set by a leader whose lease was valid when it sent the message: no other
+	// leader had committed anything beyond Commit at EchoAt.
 	Confirmed bool
 }
 
-// Role is a replica's part in its current term.
+// Role is a replica's role in the current term.
 type Role uint8
 
 const (
-	// Follower takes entries from a leader; learners stay followers.
+	// Follower accepts entries from a leader. Learners are always followers.
 	Follower Role = iota
-	// PreCandidate asks whether it could win an election.
+	// PreCandidate asks the voters whether it could win an election.
 	PreCandidate
-	// Candidate asks for votes.
+	// Candidate requests votes for itself.
 	Candidate
-	// Leader replicates its log.
+	// Leader appends proposals and replicates its log to the other members.
 	Leader
 )
 
@@ -125,15 +126,14 @@
 	}
 }
 
-// Effects is one batch of work for the caller; see the package comment for the
-// order in which it must be done.
+// Effects is one batch of work for the caller. The package comment gives the order in which the
+// parts must be processed.
 type Effects struct {
-	// HardState is set when it changed since the last batch.
+	// HardState is set if it changed since the last batch.
 	HardState *HardState
 	// Snapshot, if set, replaces the whole durable log.
 	Snapshot *Snapshot
-	// Entries are to be appended; durable entries from Entries[0].Index on are
-	// replaced.
+	// Entries are to be appended. They replace durable entries from Entries[0].Index on.
 	Entries []Entry
 	// Messages are to be sent once all of the above is durable.
 	Messages []Message
@@ -141,7 +141,7 @@
 	Committed []Entry
 }
 
-// Empty reports whether there is nothing to do.
+// Empty reports whether the batch contains no work.
 func (e Effects) Empty() bool {
 	return e.HardState == nil && e.Snapshot == nil && len(e.Entries) == 0 &&
 		len(e.Messages) == 0 && len(e.Committed) == 0
--- a/pkg/raft/network_test.go
+++ b/pkg/raft/network_test.go
@@ -9,27 +9,27 @@
 )
 
 const (
-	testElection  = time.Second
-	testHeartbeat = 200 * time.Millisecond
-	testDrift     = 0.05
-	testStep      = 10 * time.Millisecond
+	testElectionTimeout   = time.Second
+	testHeartbeatInterval = 200 * time.Millisecond
+	testMaxClockDrift     = 0.05
+	testStep              = 10 * time.Millisecond
 )
 
-// testNetwork runs replicas in lockstep; messages arrive one step later.
+// testNetwork runs replicas in lockstep. Messages arrive one step after they are sent.
 type testNetwork struct {
 	t      *testing.T
 	random *rand.Rand
 	now    time.Duration
 	nodes  map[ReplicaID]*Node
-	// applied holds the committed data of each replica in order.
+	// applied holds the data of the commands that each replica applied, in order.
 	applied map[ReplicaID][]string
-	// cut replicas neither send nor hear.
-	cut map[ReplicaID]bool
+	// isolated replicas neither send nor receive messages.
+	isolated map[ReplicaID]bool
 }
 
 func newTestNetwork(t *testing.T, size int) *testNetwork {
 	t.Helper()
-	n := &testNetwork{t: t, random: rand.New(rand.NewPCG(7, 7)), nodes: map[ReplicaID]*Node{}, applied: map[ReplicaID][]string{}, cut: map[ReplicaID]bool{}}
+	n := &testNetwork{t: t, random: rand.New(rand.NewPCG(7, 7)), nodes: map[ReplicaID]*Node{}, applied: map[ReplicaID][]string{}, isolated: map[ReplicaID]bool{}}
 	var membership Membership
 	for id := ReplicaID(1); int(id) <= size; id++ {
 		membership.Members = append(membership.Members, Member{ID: id})
@@ -43,7 +43,7 @@
 func (n *testNetwork) start(id ReplicaID, state State) *Node {
 	n.t.Helper()
 	node, err := New(n.now, Config{
-		ID: id, ElectionTimeout: testElection, HeartbeatInterval: testHeartbeat, MaxClockDrift: testDrift,
+		ID: id, ElectionTimeout: testElectionTimeout, HeartbeatInterval: testHeartbeatInterval, MaxClockDrift: testMaxClockDrift,
 		MaxAppendBytes: 1 << 16, KeepEntries: 4, Random: n.random.Int64N,
 	}, state)
 	is.New(n.t).NoErr(err)
@@ -51,25 +51,25 @@
 	return node
 }
 
-// run lets time pass.
+// run advances the time by d in steps of testStep.
 func (n *testNetwork) run(d time.Duration) {
 	for end := n.now + d; n.now < end; n.now += testStep {
-		var mail []Message
+		var messages []Message
 		for id := ReplicaID(1); int(id) <= len(n.nodes); id++ {
-			mail = append(mail, n.turn(id)...)
+			messages = append(messages, n.stepNode(id)...)
 		}
-		for _, m := range mail {
-			if node := n.nodes[m.To]; node != nil && !n.cut[m.To] && !n.cut[m.From] {
+		for _, m := range messages {
+			if node := n.nodes[m.To]; node != nil && !n.isolated[m.To] && !n.isolated[m.From] {
 				node.Step(n.now, m)
 			}
 		}
 	}
 }
 
-func (n *testNetwork) turn(id ReplicaID) []Message {
+func (n *testNetwork) stepNode(id ReplicaID) []Message {
 	node := n.nodes[id]
 	node.Tick(n.now)
-	var mail []Message
+	var messages []Message
 	for effects := node.Effects(n.now); !effects.Empty(); effects = node.Effects(n.now) {
 		node.Persisted(effects)
 		for _, entry := range effects.Committed {
@@ -78,25 +78,25 @@
 			}
 			node.Applied(entry.Index)
 		}
-		mail = append(mail, effects.Messages...)
+		messages = append(messages, effects.Messages...)
 	}
-	return mail
+	return messages
 }
 
-// leader returns the leader of the highest term among the reachable replicas.
+// leader returns the leader with the highest term among the connected replicas, or nil.
 func (n *testNetwork) leader() *Node {
 	var found *Node
 	for id, node := range n.nodes {
-		if node.Role() == Leader && !n.cut[id] && (found == nil || node.Term() > found.Term()) {
+		if node.Role() == Leader && !n.isolated[id] && (found == nil || node.Term() > found.Term()) {
 			found = node
 		}
 	}
 	return found
 }
 
-func (n *testNetwork) elect() *Node {
+func (n *testNetwork) electLeader() *Node {
 	n.t.Helper()
-	n.run(4 * testElection)
+	n.run(4 * testElectionTimeout)
 	leader := n.leader()
 	is.New(n.t).True(leader != nil)
 	return leader
--- a/pkg/raft/node.go
+++ b/pkg/raft/node.go
@@ -7,49 +7,52 @@
 	"time"
 )
 
-// Errors of the proposing calls.
+// Errors of Propose and ProposeMembership.
 var (
-	// ErrNotLeader: only the leader takes proposals.
+	// ErrNotLeader means that another replica must be asked: only the leader accepts proposals.
 	ErrNotLeader = errors.New("raft: this replica is not the leader")
-	// ErrMembershipPending: an earlier membership change is not committed yet.
-	ErrMembershipPending = errors.New("raft: a membership change is already under way")
-	// ErrTermNotCommitted: the leader has not committed an entry of its term yet.
-	ErrTermNotCommitted = errors.New("raft: the leader has not committed in its term yet")
-	// ErrMembershipStep: more than one voter would change at once.
-	ErrMembershipStep = errors.New("raft: a membership change may add or remove one voter only")
+	// ErrMembershipPending means that an earlier membership change is not committed yet.
+	ErrMembershipPending = errors.New("raft: a membership change is already in progress")
+	// ErrTermNotCommitted means that the leader has not committed an entry of its term yet.
+	ErrTermNotCommitted = errors.New("raft: the leader has not committed an entry of its term yet")
+	// ErrMultipleVoterChanges means that more than one voter would be added or removed at once,
+	// or that no voter would remain.
+	ErrMultipleVoterChanges = errors.New("raft: a membership change may add or remove at most one voter")
 )
 
-// Config sets up a Node.
+// Config holds the parameters of a Node.
 type Config struct {
 	ID ReplicaID
-	// ElectionTimeout is the least silence after which an election may start; the
-	// actual one is drawn between it and twice it.
+	// ElectionTimeout is the minimum time without contact to a leader before a follower starts
+	// an election. The actual timeout is random, between this value and twice this value.
 	ElectionTimeout time.Duration
-	// Uptime is for how long the process has run when New is called: in that time it has
-	// not spoken to any leader.
+	// Uptime is how long the process had been running when New was called. It has not
+	// acknowledged any leader in that time, so it may vote that much earlier.
 	Uptime time.Duration
-	// HeartbeatInterval is how often a leader speaks; well under ElectionTimeout.
+	// HeartbeatInterval is the time between two heartbeats of a leader; well below
+	// ElectionTimeout.
 	HeartbeatInterval time.Duration
 	// MaxClockDrift is the largest relative error of any replica's clock rate.
 	MaxClockDrift float64
-	// MaxAppendBytes bounds the entry data in one message.
+	// MaxAppendBytes limits the entry data in one message, except that one entry is always
+	// sent.
 	MaxAppendBytes int
-	// KeepEntries is how many entries before a snapshot stay for slow followers.
+	// KeepEntries is the number of entries before a snapshot that are kept for slow followers.
 	KeepEntries uint64
-	// Random returns a number in [0, n).
+	// Random returns a random number in [0, n).
 	Random func(n int64) int64
 }
 
-// State is what was durable when a replica starts.
+// State is the durable state from which a replica starts.
 type State struct {
 	HardState HardState
-	// Snapshot holds at least the first membership.
+	// Snapshot provides the membership at its index. It is empty for a replica that is joining
+	// the cluster.
 	Snapshot Snapshot
 	Entries  []Entry
 }
 
-// Node is one replica's consensus state machine. It is not safe for concurrent
-// use.
+// Node is the consensus state machine of one replica. It is not safe for concurrent use.
 type Node struct {
 	config Config
 
@@ -70,29 +73,30 @@
 	// termStart is the index of the first entry of the leader's own term.
 	termStart uint64
 
-	rivalry rivalry
-	// voteBarrier is the time before which no vote is granted: one election
-	// timeout after the last word of a leader, or after the start.
-	voteBarrier time.Duration
+	deferral electionDeferral
+	// voteAllowedAt is the earliest time at which this replica grants votes: one election
+	// timeout after its last contact with a leader, or after the start of the process.
+	voteAllowedAt time.Duration
 
 	heardLeaderAt time.Duration
 
-	// session tells this process's clock readings from those of earlier ones.
+	// session identifies this process run's clock readings; see Message.Session.
 	session      uint64
 	confirmation confirmation
 
-	messages      []Message
-	snapshotToAdd *Snapshot
-	lastHardState HardState
-	unsent        bool
+	messages         []Message
+	pendingSnapshot  *Snapshot
+	lastHardState    HardState
+	broadcastPending bool
 }
 
-// firstElectionSpread is over how many heartbeat intervals replicas that start together spread
-// their first pre-votes. They begin as soon as votes are granted: a pre-vote disturbs no working
-// leader, and where there is none everybody waits.
+// firstElectionSpread is the number of heartbeat intervals over which replicas that start
+// together spread their first pre-votes. The range is short, since a pre-vote does not disturb
+// a working leader.
 const firstElectionSpread = 2
 
-// New starts a replica from its durable state.
+// New creates the Node of a replica from its durable state. It fails if the ID is zero, an
+// entry is missing, or a membership entry cannot be decoded.
 func New(now time.Duration, config Config, state State) (*Node, error) {
 	if config.ID == 0 {
 		return nil, errors.New("raft: replica ID must not be zero")
@@ -105,7 +109,7 @@
 			continue
 		}
 		if entry.Index != n.log.lastIndex()+1 {
-			return nil, fmt.Errorf("raft: start: entry %d follows %d", entry.Index, n.log.lastIndex())
+			return nil, fmt.Errorf("raft: start: entry %d follows entry %d", entry.Index, n.log.lastIndex())
 		}
 		if err := n.appendEntry(entry); err != nil {
 			return nil, fmt.Errorf("raft: start: %w", err)
@@ -116,10 +120,10 @@
 	n.vote = state.HardState.Vote
 	n.log.commit = max(n.log.commit, min(state.HardState.Commit, n.log.lastIndex()))
 	n.lastHardState = n.hardState()
-	// A restarted replica may have acknowledged a leader just before it stopped.
-	silent := min(config.Uptime, config.ElectionTimeout)
-	n.voteBarrier = now + config.ElectionTimeout - silent
-	n.electionDeadline = n.voteBarrier + time.Duration(config.Random(int64(firstElectionSpread*config.HeartbeatInterval)))
+	// A restarted replica may have acknowledged a leader just before the restart.
+	elapsed := min(config.Uptime, config.ElectionTimeout)
+	n.voteAllowedAt = now + config.ElectionTimeout - elapsed
+	n.electionDeadline = n.voteAllowedAt + time.Duration(config.Random(int64(firstElectionSpread*config.HeartbeatInterval)))
 	return n, nil
 }
 
@@ -129,10 +133,10 @@
 // Term returns the current term.
 func (n *Node) Term() uint64 { return n.term }
 
-// Role returns the replica's part in the current term.
+// Role returns the replica's role in the current term.
 func (n *Node) Role() Role { return n.role }
 
-// Leader returns the leader of the current term as far as it is known.
+// Leader returns the leader of the current term, or zero if it is not known.
 func (n *Node) Leader() ReplicaID { return n.leader }
 
 // Commit returns the highest index known to be committed.
@@ -144,7 +148,7 @@
 // SnapshotIndex returns the index of the newest snapshot.
 func (n *Node) SnapshotIndex() uint64 { return n.log.snapshot.Index }
 
-// Membership returns the membership in force.
+// Membership returns the membership in force: the newest one in the log.
 func (n *Node) Membership() Membership { return n.memberships.current().membership }
 
 // MembershipCommitted reports whether the membership in force is committed.
@@ -152,8 +156,8 @@
 	return n.memberships.current().index <= n.log.commit
 }
 
-// Match returns how far a replica's durable log is known to agree; only a leader
-// knows.
+// Match returns the highest log index known to be durable on a replica. Only the leader knows
+// it for other replicas; elsewhere it is zero.
 func (n *Node) Match(id ReplicaID) uint64 {
 	if id == n.config.ID {
 		return n.log.persisted
@@ -164,20 +168,19 @@
 	return 0
 }
 
-// DurableCopies counts the voters known to hold everything that is committed. A
-// repair is complete only when every voter does. A voter that has not answered this
-// leader lately does not count, whatever it once held: its disk may be gone.
+// DurableCopies returns the number of voters known to hold all committed entries durably. A
+// voter without a recent response does not count, since its disk may be lost.
 func (n *Node) DurableCopies(now time.Duration) int {
 	copies := 0
 	for _, id := range n.Membership().Voters() {
-		if n.answersNow(now, id) && n.Match(id) >= n.log.commit {
+		if n.respondedRecently(now, id) && n.Match(id) >= n.log.commit {
 			copies++
 		}
 	}
 	return copies
 }
 
-// NextDeadline returns when Tick must be called next.
+// NextDeadline returns the time at which Tick must be called next.
 func (n *Node) NextDeadline() time.Duration {
 	if n.role == Leader {
 		return n.heartbeatDue
@@ -185,7 +188,7 @@
 	return n.electionDeadline
 }
 
-// Tick lets time-driven work happen.
+// Tick performs due heartbeats, quorum checks and elections.
 func (n *Node) Tick(now time.Duration) {
 	if n.role == Leader {
 		n.tickLeader(now)
@@ -201,20 +204,20 @@
 	n.startPreVote(now)
 }
 
-// Propose appends a command. It returns the index and term at which the command
-// stands if it is ever committed.
+// Propose appends a command to the leader's log. It returns the index and term of its entry,
+// which identify the command if it is committed, or ErrNotLeader.
 func (n *Node) Propose(data []byte) (index, term uint64, err error) {
 	if n.role != Leader {
 		return 0, 0, ErrNotLeader
 	}
 	index = n.log.lastIndex() + 1
 	n.log.append(Entry{Term: n.term, Index: index, Kind: EntryCommand, Data: data})
-	n.unsent = true
+	n.broadcastPending = true
 	return index, n.term, nil
 }
 
-// ProposeMembership appends a new membership that differs from the one in force
-// by at most one voter.
+// ProposeMembership appends a membership that differs from the one in force by at most one
+// voter. It returns one of the errors above if the change is not possible.
 func (n *Node) ProposeMembership(m Membership) error {
 	if n.role != Leader {
 		return ErrNotLeader
@@ -226,7 +229,7 @@
 		return ErrTermNotCommitted
 	}
 	if votersChanged(n.Membership(), m) > 1 || len(m.Voters()) == 0 {
-		return ErrMembershipStep
+		return ErrMultipleVoterChanges
 	}
 	data, err := encodeMembership(m)
 	if err != nil {
@@ -236,42 +239,42 @@
 	if err := n.appendEntry(entry); err != nil {
 		return fmt.Errorf("raft: append membership: %w", err)
 	}
-	n.unsent = true
+	n.broadcastPending = true
 	n.ensureProgress()
 	return nil
 }
 
-// Effects takes the pending batch.
+// Effects returns the pending batch and clears it.
 func (n *Node) Effects(now time.Duration) Effects {
-	if n.role == Leader && n.unsent {
+	if n.role == Leader && n.broadcastPending {
 		n.broadcastAppend(now)
 	}
-	n.unsent = false
+	n.broadcastPending = false
 	effects := Effects{
-		Snapshot:  n.snapshotToAdd,
+		Snapshot:  n.pendingSnapshot,
 		Entries:   n.log.between(n.log.persisted, n.log.lastIndex()),
 		Messages:  n.messages,
-		Committed: n.log.between(n.log.handedOut, n.log.commit),
+		Committed: n.log.between(n.log.delivered, n.log.commit),
 	}
 	if hard := n.hardState(); hard != n.lastHardState {
 		effects.HardState = &hard
 		n.lastHardState = hard
 	}
-	n.log.handedOut = n.log.commit
-	n.snapshotToAdd = nil
+	n.log.delivered = n.log.commit
+	n.pendingSnapshot = nil
 	n.messages = nil
 	return effects
 }
 
-// Persisted tells the node that a batch is durable. Until then its own copy of the
-// entries counts for nothing.
+// Persisted reports that a batch is durable. Until then the node's own copy of its entries does
+// not count.
 func (n *Node) Persisted(effects Effects) {
 	if len(effects.Entries) == 0 {
 		return
 	}
 	last := effects.Entries[len(effects.Entries)-1]
-	term, held := n.log.term(last.Index)
-	if !held || term != last.Term {
+	term, found := n.log.term(last.Index)
+	if !found || term != last.Term {
 		return
 	}
 	n.log.persisted = max(n.log.persisted, last.Index)
@@ -280,33 +283,33 @@
 	}
 }
 
-// Applied tells the node how far the state machine has come.
+// Applied reports that the state machine has applied the entries up to index.
 func (n *Node) Applied(index uint64) {
 	n.log.applied = max(n.log.applied, index)
 }
 
-// Compact drops old entries once the caller has made a snapshot durable. The
-// snapshot must be of applied state.
+// Compact sets a new snapshot and drops entries that it covers, except the last KeepEntries.
+// The snapshot must be newer than the previous one and contain applied entries only.
 func (n *Node) Compact(s Snapshot) error {
 	if s.Index > n.log.applied || s.Index <= n.log.snapshot.Index {
-		return fmt.Errorf("raft: compact at %d: applied %d, snapshot %d", s.Index, n.log.applied, n.log.snapshot.Index)
+		return fmt.Errorf("raft: compact at index %d: applied up to %d, previous snapshot at %d", s.Index, n.log.applied, n.log.snapshot.Index)
 	}
 	n.log.compact(s, n.config.KeepEntries)
 	n.memberships.compactTo(s.Index)
 	return nil
 }
 
-// SnapshotAt builds the header of a snapshot at an applied index.
+// SnapshotAt returns a snapshot at an applied index, with data as the state machine's state.
 func (n *Node) SnapshotAt(index uint64, data []byte) (Snapshot, error) {
-	term, held := n.log.term(index)
-	if !held || index > n.log.applied {
-		return Snapshot{}, fmt.Errorf("raft: snapshot at %d: applied %d", index, n.log.applied)
+	term, found := n.log.term(index)
+	if !found || index > n.log.applied {
+		return Snapshot{}, fmt.Errorf("raft: snapshot at index %d: entry is compacted or not applied, applied up to %d", index, n.log.applied)
 	}
 	return Snapshot{Index: index, Term: term, Membership: n.memberships.at(index), Data: data}, nil
 }
 
-// Retained returns the snapshot and the entries the node still holds, as a new
-// durable log would have to contain them.
+// Retained returns the snapshot, the hard state and the durable entries after the snapshot,
+// which are the content of a new log file.
 func (n *Node) Retained() (Snapshot, HardState, []Entry) {
 	after := max(n.log.snapshot.Index, n.log.prevIndex)
 	return n.log.snapshot, n.hardState(), n.log.between(after, n.log.persisted)
@@ -316,7 +319,7 @@
 	return HardState{Term: n.term, Vote: n.vote, Commit: n.log.commit}
 }
 
-// appendEntry adds an entry and puts a membership in it into force.
+// appendEntry appends an entry. A membership takes effect as soon as it is appended.
 func (n *Node) appendEntry(entry Entry) error {
 	if entry.Kind == EntryMembership {
 		m, err := DecodeMembership(entry.Data)
--- a/pkg/raft/progress.go
+++ b/pkg/raft/progress.go
@@ -5,28 +5,29 @@
 	"time"
 )
 
-// progress is what a leader knows of one other replica.
+// progress is a leader's replication state for one other replica.
 type progress struct {
 	// match is the highest index known to be durable on the replica.
 	match uint64
-	// next is the next index to send.
+	// next is the index of the next entry to send.
 	next uint64
-	// snapshotSentAt is when a snapshot was last sent, until it is answered.
+	// snapshotSentAt and snapshotIndex describe the snapshot in flight; snapshotIndex is zero
+	// if there is none.
 	snapshotSentAt time.Duration
 	snapshotIndex  uint64
-	// ackedAt is the newest send time on the leader's clock that the replica has
-	// echoed in this term.
+	// ackedAt is the newest send time on the leader's clock that the replica has echoed in this
+	// term; zero if none.
 	ackedAt time.Duration
-	// addressedAt is when the leader first sent the replica anything; zero for not yet.
-	addressedAt time.Duration
-	// peerClock is the replica's last clock reading, of the process peerSession,
-	// to be echoed.
+	// firstSentAt is when the leader first sent the replica a message; zero if it has not.
+	firstSentAt time.Duration
+	// peerClock is the last clock reading received from the replica, and peerSession the
+	// session it belongs to. Both are echoed.
 	peerClock   time.Duration
 	peerSession uint64
 }
 
-// accepted takes in that the replica holds the log up to index.
-func (p *progress) accepted(index uint64) {
+// updateMatch records that the replica holds the log durably up to index.
+func (p *progress) updateMatch(index uint64) {
 	p.match = max(p.match, index)
 	p.next = max(p.next, p.match+1)
 	if p.match >= p.snapshotIndex {
@@ -34,13 +35,13 @@
 	}
 }
 
-// rejected moves back to where the logs may still agree. A stale rejection below
-// what is known to match changes nothing.
-func (p *progress) rejected(hint uint64) {
+// decreaseNext moves next back to where the logs may still agree, but never below match+1.
+func (p *progress) decreaseNext(hint uint64) {
 	p.next = max(p.match+1, min(p.next-1, hint+1))
 }
 
-// nthHighest returns the n-th highest value, counted from one.
+// nthHighest returns the n-th highest value, counted from one, or zero if there is none. It
+// sorts values in place.
 func nthHighest[T uint64 | time.Duration](values []T, n int) T {
 	if n < 1 || n > len(values) {
 		var zero T
--- a/pkg/raft/raft_test.go
+++ b/pkg/raft/raft_test.go
@@ -13,7 +13,7 @@
 func TestCommittedEntriesReachEveryReplica(t *testing.T) {
 	is := is.New(t)
 	n := newTestNetwork(t, 3)
-	n.elect()
+	n.electLeader()
 	n.propose("a")
 	n.propose("b")
 	n.run(time.Second)
@@ -25,61 +25,61 @@
 	is.True(errors.Is(err, ErrNotLeader))
 }
 
-func TestPreVoteKeepsAReturningReplicaFromDisturbing(t *testing.T) {
+func TestReturningReplicaDoesNotDeposeLeader(t *testing.T) {
 	is := is.New(t)
 	n := newTestNetwork(t, 3)
-	leader := n.elect()
+	leader := n.electLeader()
 	term := leader.Term()
-	away := leader.ID()%3 + 1
-	n.cut[away] = true
-	n.run(20 * testElection)
-	is.Equal(n.nodes[away].Term(), term) // it asked, but opened no term
-	delete(n.cut, away)
-	n.run(3 * testElection)
+	follower := leader.ID()%3 + 1
+	n.isolated[follower] = true
+	n.run(20 * testElectionTimeout)
+	is.Equal(n.nodes[follower].Term(), term) // pre-votes start no term
+	delete(n.isolated, follower)
+	n.run(3 * testElectionTimeout)
 	is.Equal(n.leader().ID(), leader.ID())
 	is.Equal(n.leader().Term(), term)
 }
 
-func TestCutLeaderLosesItsLeaseBeforeAnotherLeads(t *testing.T) {
+func TestIsolatedLeaderLosesLeaseBeforeNextLeader(t *testing.T) {
 	is := is.New(t)
 	n := newTestNetwork(t, 3)
-	old := n.elect()
-	is.True(old.LeaseValid(n.now))
-	n.cut[old.ID()] = true
+	oldLeader := n.electLeader()
+	is.True(oldLeader.LeaseValid(n.now))
+	n.isolated[oldLeader.ID()] = true
 	for range 400 {
 		n.run(testStep)
 		other := n.leader()
-		if other != nil && other.ID() != old.ID() {
-			is.True(!old.LeaseValid(n.now)) // no two at the same moment
+		if other != nil && other.ID() != oldLeader.ID() {
+			is.True(!oldLeader.LeaseValid(n.now)) // leases do not overlap
 		}
 	}
-	is.True(n.leader() != nil && n.leader().ID() != old.ID())
-	is.True(old.Role() != Leader) // check-quorum made it step down
+	is.True(n.leader() != nil && n.leader().ID() != oldLeader.ID())
+	is.True(oldLeader.Role() != Leader) // check-quorum made the old leader step down
 }
 
-func TestLogOfACutLeaderIsRepaired(t *testing.T) {
+func TestUncommittedEntriesOfIsolatedLeaderAreReplaced(t *testing.T) {
 	is := is.New(t)
 	n := newTestNetwork(t, 3)
-	old := n.elect()
+	oldLeader := n.electLeader()
 	n.propose("kept")
 	n.run(time.Second)
-	n.cut[old.ID()] = true
-	_, _, err := old.Propose([]byte("lost"))
+	n.isolated[oldLeader.ID()] = true
+	_, _, err := oldLeader.Propose([]byte("lost"))
 	is.NoErr(err)
-	n.run(5 * testElection)
+	n.run(5 * testElectionTimeout)
 	n.propose("later")
 	n.run(time.Second)
-	delete(n.cut, old.ID())
-	n.run(3 * testElection)
+	delete(n.isolated, oldLeader.ID())
+	n.run(3 * testElectionTimeout)
 	for id := range n.nodes {
 		is.Equal(n.applied[id], []string{"kept", "later"})
 	}
 }
 
-func TestLearnerCatchesUpBySnapshotAndDoesNotVote(t *testing.T) {
+func TestLearnerCatchesUpFromSnapshotAndDoesNotVote(t *testing.T) {
 	is := is.New(t)
 	n := newTestNetwork(t, 3)
-	leader := n.elect()
+	leader := n.electLeader()
 	for i := range 20 {
 		n.propose(fmt.Sprint(i))
 	}
@@ -92,7 +92,7 @@
 	n.run(2 * time.Second)
 	is.Equal(leader.Match(4), leader.LastIndex())
 	is.True(!leader.Membership().IsVoter(4))
-	is.Equal(leader.Membership().Quorum(), 2) // a learner counts for nothing
+	is.Equal(leader.Membership().Quorum(), 2) // a learner does not count
 	is.NoErr(leader.ProposeMembership(leader.Membership().WithPromoted(4)))
 	n.run(time.Second)
 	is.Equal(leader.Membership().Quorum(), 3)
@@ -102,74 +102,75 @@
 func TestMembershipChangesOneVoterAtATime(t *testing.T) {
 	is := is.New(t)
 	n := newTestNetwork(t, 3)
-	leader := n.elect()
+	leader := n.electLeader()
 	two := leader.Membership().Without(1).Without(2)
-	is.True(errors.Is(leader.ProposeMembership(two), ErrMembershipStep))
+	is.True(errors.Is(leader.ProposeMembership(two), ErrMultipleVoterChanges))
 	is.NoErr(leader.ProposeMembership(leader.Membership().WithLearner(Member{ID: 9})))
 	is.True(errors.Is(leader.ProposeMembership(leader.Membership()), ErrMembershipPending))
 }
 
-func TestDurableCopiesCountOnlyReplicasThatAnswer(t *testing.T) {
+func TestDurableCopiesCountOnlyResponsiveReplicas(t *testing.T) {
 	is := is.New(t)
 	n := newTestNetwork(t, 3)
-	leader := n.elect()
+	leader := n.electLeader()
 	n.propose("a")
 	n.run(time.Second)
 	is.Equal(leader.DurableCopies(n.now), 3)
-	n.cut[leader.ID()%3+1] = true
-	n.run(2 * testElection)
-	is.Equal(leader.DurableCopies(n.now), 2) // what a lost disk once held counts no more
+	n.isolated[leader.ID()%3+1] = true
+	n.run(2 * testElectionTimeout)
+	is.Equal(leader.DurableCopies(n.now), 2) // an unresponsive replica may have lost its disk
 }
 
-func TestAVoteOutlivesARestart(t *testing.T) {
+func TestVoteSurvivesRestart(t *testing.T) {
 	is := is.New(t)
 	n := newTestNetwork(t, 3)
-	n.run(2 * testElection)
+	n.run(2 * testElectionTimeout)
 	voter := n.start(1, State{HardState: HardState{Term: 9, Vote: 2}, Snapshot: n.nodes[1].log.snapshot})
-	n.now += 10 * testElection
+	n.now += 10 * testElectionTimeout
 	voter.Step(n.now, Message{Kind: MessageVote, From: 3, To: 1, Term: 9, Index: 100, LogTerm: 9})
-	answer := voter.Effects(n.now).Messages
-	is.Equal(len(answer), 1)
-	is.True(answer[0].Reject) // one vote a term, also over a restart
+	responses := voter.Effects(n.now).Messages
+	is.Equal(len(responses), 1)
+	is.True(responses[0].Reject) // one vote per term, also across a restart
 }
 
-func TestARestartedReplicaVotesForNobodyAtFirst(t *testing.T) {
+func TestRestartedReplicaDelaysVoting(t *testing.T) {
 	is := is.New(t)
 	n := newTestNetwork(t, 3)
-	fresh := n.start(1, State{Snapshot: n.nodes[1].log.snapshot})
-	fresh.Step(n.now+testElection/2, Message{Kind: MessageVote, From: 3, To: 1, Term: 5, Index: 100, LogTerm: 5})
-	for _, m := range fresh.Effects(n.now + testElection/2).Messages {
-		is.True(m.Reject) // a leader may still hold a lease on its earlier word
+	restarted := n.start(1, State{Snapshot: n.nodes[1].log.snapshot})
+	restarted.Step(n.now+testElectionTimeout/2, Message{Kind: MessageVote, From: 3, To: 1, Term: 5, Index: 100, LogTerm: 5})
+	for _, m := range restarted.Effects(n.now + testElectionTimeout/2).Messages {
+		is.True(m.Reject) // a leader may still hold a lease
 	}
-	is.Equal(fresh.Term(), uint64(0))
+	is.Equal(restarted.Term(), uint64(0))
 }
 
-// What counts is how long the process has spoken to nobody, not when its state was read.
-func TestVoteBarrierCountsFromTheProcessesStart(t *testing.T) {
+// A process that has been running for a while may vote that much earlier, since it has not
+// acknowledged any leader.
+func TestVotingDelayCountsFromProcessStart(t *testing.T) {
 	is := is.New(t)
-	asked := Message{Kind: MessageVote, From: 3, To: 1, Term: 5, Index: 100, LogTerm: 5}
-	for uptime, votesAt := range map[time.Duration]time.Duration{0: testElection, testElection / 2: testElection / 2, 3 * testElection: 0} {
+	request := Message{Kind: MessageVote, From: 3, To: 1, Term: 5, Index: 100, LogTerm: 5}
+	for uptime, voteAllowedAt := range map[time.Duration]time.Duration{0: testElectionTimeout, testElectionTimeout / 2: testElectionTimeout / 2, 3 * testElectionTimeout: 0} {
 		n := newTestNetwork(t, 3)
 		config := n.nodes[1].config
 		config.Uptime = uptime
-		for _, early := range []time.Duration{testStep, 0} {
-			fresh, err := New(0, config, State{Snapshot: n.nodes[1].log.snapshot})
+		for _, before := range []time.Duration{testStep, 0} {
+			restarted, err := New(0, config, State{Snapshot: n.nodes[1].log.snapshot})
 			is.NoErr(err)
-			if votesAt < early {
+			if voteAllowedAt < before {
 				continue
 			}
-			fresh.Step(votesAt-early, asked)
-			answers := fresh.Effects(votesAt - early).Messages
-			granted := len(answers) == 1 && !answers[0].Reject
-			is.Equal(granted, early == 0)
+			restarted.Step(voteAllowedAt-before, request)
+			responses := restarted.Effects(voteAllowedAt - before).Messages
+			granted := len(responses) == 1 && !responses[0].Reject
+			is.Equal(granted, before == 0)
 		}
 	}
 }
 
-func TestCompactKeepsTheTailAndRefusesTheFuture(t *testing.T) {
+func TestCompactAcceptsOnlyNewerAppliedSnapshot(t *testing.T) {
 	is := is.New(t)
 	n := newTestNetwork(t, 1)
-	leader := n.elect()
+	leader := n.electLeader()
 	for i := range 10 {
 		n.propose(fmt.Sprint(i))
 	}
@@ -178,14 +179,14 @@
 	snapshot, err := leader.SnapshotAt(leader.Commit(), nil)
 	is.NoErr(err)
 	is.NoErr(leader.Compact(snapshot))
-	_, _, kept := leader.Retained()
-	is.Equal(len(kept), 0) // a new durable log needs only what follows the snapshot
+	_, _, entries := leader.Retained()
+	is.Equal(len(entries), 0) // a new log file contains only entries after the snapshot
 	is.True(leader.Compact(snapshot) != nil)
 }
 
-// Replicas that come back one after the other must not wait out whole election timeouts: one
-// that asked for votes before anybody could give them asks again soon.
-func TestPreCandidateAsksAgainSoon(t *testing.T) {
+// A pre-candidate whose first requests were not received must retry within a few heartbeats,
+// not after an election timeout.
+func TestPreCandidateRetriesWithinHeartbeats(t *testing.T) {
 	is := is.New(t)
 	for seed := range uint64(50) {
 		n := newTestNetwork(t, 3)
@@ -193,18 +194,18 @@
 		for id, node := range n.nodes {
 			n.start(id, State{Snapshot: node.log.snapshot})
 		}
-		n.cut = map[ReplicaID]bool{1: true, 2: true, 3: true}
-		n.run(2*testElection + testHeartbeat) // all have asked, and nobody heard them
-		n.cut = nil
-		n.run(3 * testHeartbeat)
+		n.isolated = map[ReplicaID]bool{1: true, 2: true, 3: true}
+		n.run(2*testElectionTimeout + testHeartbeatInterval) // every replica has sent pre-votes that nobody received
+		n.isolated = nil
+		n.run(3 * testHeartbeatInterval)
 		is.True(n.leader() != nil)
 	}
 }
 
-// When all replicas return at once there is no leader to disturb, and everybody waits for one.
-func TestReplicasThatReturnTogetherElectSoon(t *testing.T) {
+// Replicas that start together without a leader must not wait for election timeouts.
+func TestReplicasStartedTogetherElectLeaderQuickly(t *testing.T) {
 	is := is.New(t)
-	late := 0
+	slow := 0
 	const rounds = 50
 	for seed := range uint64(rounds) {
 		n := newTestNetwork(t, 3)
@@ -212,10 +213,10 @@
 		for id, node := range n.nodes {
 			n.start(id, State{Snapshot: node.log.snapshot})
 		}
-		n.run(testElection + testHeartbeat*3/2)
+		n.run(testElectionTimeout + testHeartbeatInterval*3/2)
 		if n.leader() == nil {
-			late++
+			slow++
 		}
 	}
-	is.True(late <= rounds/5) // votes may be split
+	is.True(slow <= rounds/5) // some elections end in a split vote
 }
--- a/pkg/raft/replication.go
+++ b/pkg/raft/replication.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Step takes in one message from another replica. A message that is not for this
-// replica, or that is out of date, is dropped.
+// Step processes one message from another replica. It ignores a message for a different replica
+// and rejects requests of an earlier term.
 func (n *Node) Step(now time.Duration, m Message) {
 	if m.To != n.config.ID {
 		return
@@ -12,14 +12,15 @@
 		return
 	}
 	if m.Term < n.term {
-		n.answerOldTerm(now, m)
+		n.rejectStaleTerm(now, m)
 		return
 	}
 	n.dispatch(now, m)
 }
 
-// adoptTerm follows a higher term, unless the message only asks what would be or
-// comes while a leader may hold its lease. It reports whether to go on.
+// adoptTerm handles a message of a higher term and reports whether to process it further. The
+// replica moves to that term, except for pre-votes, which start no term, and for vote requests
+// while a leader may still hold its lease, which are dropped.
 func (n *Node) adoptTerm(now time.Duration, m Message) bool {
 	switch m.Kind {
 	case MessagePreVote:
@@ -37,8 +38,8 @@
 	return true
 }
 
-// answerOldTerm tells a sender of an earlier term that the term is over.
-func (n *Node) answerOldTerm(now time.Duration, m Message) {
+// rejectStaleTerm rejects a request of an earlier term. The response carries the current term.
+func (n *Node) rejectStaleTerm(now time.Duration, m Message) {
 	switch m.Kind {
 	case MessagePreVote:
 		n.send(now, Message{Kind: MessagePreVoteResponse, To: m.From, Reject: true})
@@ -60,10 +61,10 @@
 	case MessageVoteResponse:
 		n.handleVoteResponse(now, m, Candidate)
 	case MessageAppend:
-		n.hearLeader(now, m)
+		n.recordLeaderContact(now, m)
 		n.handleAppend(now, m)
 	case MessageSnapshot:
-		n.hearLeader(now, m)
+		n.recordLeaderContact(now, m)
 		n.handleSnapshot(now, m)
 	case MessageAppendResponse:
 		if n.role == Leader {
@@ -72,27 +73,28 @@
 	}
 }
 
-// hearLeader notes a sign of life of the current leader.
-func (n *Node) hearLeader(now time.Duration, m Message) {
+// recordLeaderContact follows the sender as the current leader, and postpones votes and
+// elections by an election timeout.
+func (n *Node) recordLeaderContact(now time.Duration, m Message) {
 	if n.role != Follower || n.leader != m.From {
 		n.becomeFollower(now, m.Term, m.From)
 	}
 	n.heardLeaderAt = now
-	n.rivalry = rivalry{}
-	n.voteBarrier = now + n.config.ElectionTimeout
+	n.deferral = electionDeferral{}
+	n.voteAllowedAt = now + n.config.ElectionTimeout
 	n.resetElectionDeadline(now)
 }
 
 func (n *Node) handleAppend(now time.Duration, m Message) {
 	response := Message{Kind: MessageAppendResponse, To: m.From, EchoAt: m.SentAt}
 	if m.Index < n.log.commit {
-		// An old message; everything up to commit is known to agree.
+		// A delayed message: the entries up to commit are known to match.
 		response.Index = n.log.commit
 		n.send(now, response)
 		return
 	}
-	term, held := n.log.term(m.Index)
-	if !held || term != m.LogTerm {
+	term, found := n.log.term(m.Index)
+	if !found || term != m.LogTerm {
 		response.Reject = true
 		response.Index = min(m.Index, n.log.lastIndex()+1) - 1
 		n.send(now, response)
@@ -102,26 +104,25 @@
 	response.Index = m.Index + uint64(len(m.Entries))
 	n.log.commit = max(n.log.commit, min(m.Commit, response.Index))
 	if m.EchoSession == n.session {
-		n.confirmation.offer(m)
+		n.confirmation.observe(m)
 	}
 	n.send(now, response)
 }
 
-// mergeEntries appends what is new and replaces what conflicts. Entries that agree
-// stay, even if more follow: an old message must not shorten the log.
+// mergeEntries appends new entries and replaces conflicting ones. Matching entries stay, even
+// if more follow: a delayed message must not shorten the log.
 func (n *Node) mergeEntries(entries []Entry) {
 	for _, entry := range entries {
-		term, held := n.log.term(entry.Index)
-		if held && term == entry.Term {
+		term, found := n.log.term(entry.Index)
+		if found && term == entry.Term {
 			continue
 		}
-		if held {
+		if found {
 			n.memberships.truncateFrom(entry.Index)
 			n.log.truncateFrom(entry.Index)
 		}
 		if err := n.appendEntry(entry); err != nil {
-			// The leader encoded it with the same code; stop taking entries here
-			// and let the leader try again.
+			// Not expected, since the leader encodes memberships with the same code.
 			return
 		}
 	}
@@ -137,7 +138,7 @@
 	n.log.restore(*m.Snapshot)
 	n.memberships = membershipHistory{}
 	n.memberships.add(m.Snapshot.Index, m.Snapshot.Membership)
-	n.snapshotToAdd = m.Snapshot
+	n.pendingSnapshot = m.Snapshot
 	response.Index = m.Snapshot.Index
 	n.send(now, response)
 }
@@ -151,11 +152,11 @@
 	p.peerClock = m.SentAt
 	p.peerSession = m.Session
 	if m.Reject {
-		p.rejected(m.Index)
+		p.decreaseNext(m.Index)
 		n.sendAppend(now, m.From, p)
 		return
 	}
-	p.accepted(m.Index)
+	p.updateMatch(m.Index)
 	n.maybeCommit()
 	if p.next <= n.log.lastIndex() {
 		n.sendAppend(now, m.From, p)
@@ -168,7 +169,7 @@
 	}
 	lastContact := max(n.quorumAckedAt(now), n.becameLeaderAt)
 	if now-lastContact > n.config.ElectionTimeout {
-		// Check-quorum: a leader that reaches no majority stops being one.
+		// Check-quorum: a leader without contact to a majority steps down.
 		n.becomeFollower(now, n.term, 0)
 		return
 	}
@@ -185,7 +186,7 @@
 	}
 }
 
-// ensureProgress gives each member a progress and drops those of others.
+// ensureProgress adds the progress of new members and drops that of removed ones.
 func (n *Node) ensureProgress() {
 	m := n.Membership()
 	for _, member := range m.Members {
@@ -200,16 +201,17 @@
 	}
 }
 
-// sendAppend sends what the replica lacks, or an empty heartbeat.
+// sendAppend sends the entries that the replica lacks or, if they are compacted, a snapshot.
+// Without new entries the message is a heartbeat.
 func (n *Node) sendAppend(now time.Duration, to ReplicaID, p *progress) {
 	if p == nil {
 		return
 	}
-	if p.addressedAt == 0 {
-		p.addressedAt = now
+	if p.firstSentAt == 0 {
+		p.firstSentAt = now
 	}
-	prevTerm, held := n.log.term(p.next - 1)
-	if !held {
+	prevTerm, found := n.log.term(p.next - 1)
+	if !found {
 		n.sendSnapshot(now, to, p)
 		return
 	}
@@ -224,8 +226,8 @@
 }
 
 func (n *Node) sendSnapshot(now time.Duration, to ReplicaID, p *progress) {
-	waiting := p.snapshotIndex != 0 && now-p.snapshotSentAt < n.config.ElectionTimeout
-	if waiting {
+	inFlight := p.snapshotIndex != 0 && now-p.snapshotSentAt < n.config.ElectionTimeout
+	if inFlight {
 		return
 	}
 	snapshot := n.log.snapshot
@@ -234,18 +236,18 @@
 	n.send(now, Message{Kind: MessageSnapshot, To: to, Snapshot: &snapshot})
 }
 
-// maybeCommit advances commit to the highest entry of this term that a majority
-// of voters holds durably.
+// maybeCommit advances the commit index to the highest index that a majority of voters holds
+// durably, if the entry there is of the current term.
 func (n *Node) maybeCommit() {
 	var matches []uint64
 	for _, id := range n.Membership().Voters() {
 		matches = append(matches, n.Match(id))
 	}
 	index := nthHighest(matches, n.Membership().Quorum())
-	term, held := n.log.term(index)
-	if index <= n.log.commit || !held || term != n.term {
+	term, found := n.log.term(index)
+	if index <= n.log.commit || !found || term != n.term {
 		return
 	}
 	n.log.commit = index
-	n.unsent = true
+	n.broadcastPending = true
 }
--- a/pkg/replica/membership.go
+++ b/pkg/replica/membership.go
@@ -149,7 +149,7 @@
 	}
 	current := r.node.Membership()
 	for _, member := range current.Members {
-		if r.node.SilentFor(now, member.ID) < r.config.RemoveAfter {
+		if r.node.SinceLastContact(now, member.ID) < r.config.RemoveAfter {
 			continue
 		}
 		if !member.Learner && len(current.Voters()) <= r.config.leastVoters() {
