--- a/pkg/storage/doc.go
+++ b/pkg/storage/doc.go
@@ -5,19 +5,20 @@
 //
 // A log file is a sequence of records: a header of length, kind, payload checksum
 // and header checksum, then the payload. Its first record is a checkpoint (a
-// snapshot); hard states and entries follow. A checkpoint writes a whole new file
-// beside the old one, syncs it, renames it over the old one and syncs the folder,
-// so there is always exactly one whole file.
+// snapshot); hard states and entries follow. A checkpoint writes a new file under
+// a temporary name, syncs it, renames it over the old file and syncs the folder,
+// so that there is always exactly one complete log file.
 //
 // # Recovery
 //
-// A record that ends the file incomplete, with nothing readable after it, is a torn
-// write: it was never synced, so nobody was told of it, and it is cut off. A record
-// that does not check out while a later one does is corruption of something that was
-// acknowledged: Open returns ErrCorrupt and changes nothing.
+// An invalid record with no valid record after it is a torn write: it was never
+// synced or acknowledged, and Open truncates the file there. An invalid record
+// before a valid one means that acknowledged state is corrupt: Open returns
+// ErrCorrupt and leaves the file unchanged.
 //
 // # Failures
 //
-// An error of Save or Checkpoint, a failed sync above all, leaves it unknown what is
-// durable. The caller must end the process; Storage refuses every later call.
+// If Save or Checkpoint returns ErrNoRoom, it had no effect and the caller can
+// retry. After any other error, such as that of a failed sync, it is unknown what is
+// durable. The process must exit; every later call returns ErrDurabilityUnknown.
 package storage
--- a/pkg/storage/filesystem.go
+++ b/pkg/storage/filesystem.go
@@ -7,42 +7,42 @@
 	"path/filepath"
 )
 
-// Modes of what is written: the log holds secrets.
+// The log contains secrets, so only the owner may access it.
 const (
 	fileMode   = 0o600
 	folderMode = 0o700
 )
 
-// File is an open file that is only appended to.
+// File is a file open for appending.
 type File interface {
 	io.WriteCloser
-	// Sync makes what was written durable.
+	// Sync makes all written data durable.
 	Sync() error
-	// Truncate cuts the file to size bytes; later writes follow there.
+	// Truncate shortens the file to size bytes; later writes continue there.
 	Truncate(size int64) error
 }
 
-// FileSystem is the part of a file system that storage needs. The simulator
-// provides one that loses what was not synced.
+// FileSystem is the part of a file system that storage uses. The simulator provides one that
+// loses unsynced data.
 type FileSystem interface {
-	// ReadFile returns a whole file; the error is fs.ErrNotExist if there is none.
+	// ReadFile returns the content of a file, or an error that wraps fs.ErrNotExist.
 	ReadFile(name string) ([]byte, error)
-	// Create makes or empties a file.
+	// Create creates a file, or empties an existing one.
 	Create(name string) (File, error)
 	// OpenAppend opens an existing file for appending.
 	OpenAppend(name string) (File, error)
-	// Rename replaces newName by oldName.
+	// Rename gives oldName the name newName and replaces an existing file of that name.
 	Rename(oldName, newName string) error
-	// SyncFolder makes creations and renames durable.
+	// SyncFolder makes created and renamed files durable.
 	SyncFolder() error
 }
 
-// Folder is a FileSystem in one folder of the operating system.
+// Folder is a FileSystem in one folder of the operating system's file system.
 type Folder struct {
 	path string
 }
 
-// OpenFolder creates the folder if need be.
+// OpenFolder returns the folder at path, and creates it if it does not exist.
 func OpenFolder(path string) (*Folder, error) {
 	if err := os.MkdirAll(path, folderMode); err != nil {
 		return nil, fmt.Errorf("create data folder: %w", err)
@@ -50,27 +50,27 @@
 	return &Folder{path: path}, nil
 }
 
-// ReadFile implements FileSystem.
+// ReadFile implements FileSystem.ReadFile with a path relative to the folder.
 func (f *Folder) ReadFile(name string) ([]byte, error) {
 	return os.ReadFile(filepath.Join(f.path, name))
 }
 
-// Create implements FileSystem.
+// Create implements FileSystem.Create; only the owner may access the file.
 func (f *Folder) Create(name string) (File, error) {
 	return os.OpenFile(filepath.Join(f.path, name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY|os.O_APPEND, fileMode)
 }
 
-// OpenAppend implements FileSystem.
+// OpenAppend implements FileSystem.OpenAppend and fails if there is no such file.
 func (f *Folder) OpenAppend(name string) (File, error) {
 	return os.OpenFile(filepath.Join(f.path, name), os.O_WRONLY|os.O_APPEND, fileMode)
 }
 
-// Rename implements FileSystem.
+// Rename implements FileSystem.Rename within the folder.
 func (f *Folder) Rename(oldName, newName string) error {
 	return os.Rename(filepath.Join(f.path, oldName), filepath.Join(f.path, newName))
 }
 
-// SyncFolder implements FileSystem.
+// SyncFolder implements FileSystem.SyncFolder with an fsync of the folder.
 func (f *Folder) SyncFolder() error {
 	folder, err := os.Open(f.path)
 	if err != nil {
@@ -80,19 +80,19 @@
 	return folder.Sync()
 }
 
-// WriteFileAtomic replaces a file durably: after a crash it holds either the old
-// content or the new.
-func WriteFileAtomic(files FileSystem, name string, content []byte) error {
-	if err := writeTemporary(files, name, content); err != nil {
+// WriteFileAtomic replaces a file durably. After a crash the file has either the old or the new
+// content.
+func WriteFileAtomic(fsys FileSystem, name string, content []byte) error {
+	if err := writeTemporary(fsys, name, content); err != nil {
 		return err
 	}
-	return replaceByTemporary(files, name)
+	return renameTemporary(fsys, name)
 }
 
-// writeTemporary makes the new content of a file durable beside it.
-func writeTemporary(files FileSystem, name string, content []byte) error {
+// writeTemporary writes and syncs the new content of a file under a temporary name.
+func writeTemporary(fsys FileSystem, name string, content []byte) error {
 	temporary := name + temporarySuffix
-	file, err := files.Create(temporary)
+	file, err := fsys.Create(temporary)
 	if err != nil {
 		return fmt.Errorf("create %s: %w", temporary, err)
 	}
@@ -102,13 +102,13 @@
 	return nil
 }
 
-// replaceByTemporary durably gives a file the content that was written beside it.
-func replaceByTemporary(files FileSystem, name string) error {
+// renameTemporary durably replaces a file with its temporary one.
+func renameTemporary(fsys FileSystem, name string) error {
 	temporary := name + temporarySuffix
-	if err := files.Rename(temporary, name); err != nil {
+	if err := fsys.Rename(temporary, name); err != nil {
 		return fmt.Errorf("rename %s: %w", temporary, err)
 	}
-	if err := files.SyncFolder(); err != nil {
+	if err := fsys.SyncFolder(); err != nil {
 		return fmt.Errorf("sync folder of %s: %w", name, err)
 	}
 	return nil
--- a/pkg/storage/record.go
+++ b/pkg/storage/record.go
@@ -10,7 +10,7 @@
 	"bramblelift/pkg/raft"
 )
 
-// recordKind tells what a record's payload is.
+// recordKind is the type of a record's payload.
 type recordKind uint8
 
 const (
@@ -19,19 +19,18 @@
 	recordEntry
 )
 
-// Layout of a record header: length (4), kind (1), payload checksum (4), header
+// A record header consists of length (4 bytes), kind (1), payload checksum (4) and header
 // checksum (4), big-endian.
 const (
 	headerSize       = 13
 	maxRecordPayload = 256 << 20
 )
 
-// ErrCorrupt: durable, acknowledged state does not check out.
+// ErrCorrupt means that durable, acknowledged state is damaged.
 var ErrCorrupt = errors.New("storage: log is corrupt")
 
 var checksumTable = crc32.MakeTable(crc32.Castagnoli)
 
-// record is one decoded record.
 type record struct {
 	kind    recordKind
 	payload []byte
@@ -47,8 +46,8 @@
 	return append(buffer, payload...)
 }
 
-// readRecord decodes the record at the start of data; it reports false when none
-// checks out there.
+// readRecord decodes the record at the start of data. It returns the record's size with the
+// header, and false if there is no valid record.
 func readRecord(data []byte) (record, int, bool) {
 	if len(data) < headerSize {
 		return record{}, 0, false
@@ -67,23 +66,23 @@
 	return record{kind: recordKind(data[4]), payload: payload}, headerSize + length, true
 }
 
-// scanRecords decodes a log file. It returns the size of its whole part; what
-// follows is a torn write, or else the error is ErrCorrupt.
-func scanRecords(data []byte) (records []record, wholeSize int, err error) {
-	for wholeSize < len(data) {
-		next, size, whole := readRecord(data[wholeSize:])
-		if !whole {
+// scanRecords decodes a log file. It returns the records and their size in total; data after
+// that is a torn write. If a valid record follows invalid data, the error is ErrCorrupt.
+func scanRecords(data []byte) (records []record, validSize int, err error) {
+	for validSize < len(data) {
+		rec, size, valid := readRecord(data[validSize:])
+		if !valid {
 			break
 		}
-		records = append(records, next)
-		wholeSize += size
+		records = append(records, rec)
+		validSize += size
 	}
-	for offset := wholeSize + 1; offset+headerSize <= len(data); offset++ {
-		if _, _, whole := readRecord(data[offset:]); whole {
-			return nil, 0, fmt.Errorf("%w: record at byte %d does not check out but one at %d does", ErrCorrupt, wholeSize, offset)
+	for offset := validSize + 1; offset+headerSize <= len(data); offset++ {
+		if _, _, valid := readRecord(data[offset:]); valid {
+			return nil, 0, fmt.Errorf("%w: record at byte %d is invalid but one at byte %d is valid", ErrCorrupt, validSize, offset)
 		}
 	}
-	return records, wholeSize, nil
+	return records, validSize, nil
 }
 
 func encodeEntry(entry raft.Entry) []byte {
@@ -97,11 +96,11 @@
 func decodeEntry(payload []byte) (raft.Entry, error) {
 	term, termSize := binary.Uvarint(payload)
 	if termSize <= 0 {
-		return raft.Entry{}, fmt.Errorf("%w: entry term", ErrCorrupt)
+		return raft.Entry{}, fmt.Errorf("%w: invalid term of an entry", ErrCorrupt)
 	}
 	index, indexSize := binary.Uvarint(payload[termSize:])
 	if indexSize <= 0 || len(payload) <= termSize+indexSize {
-		return raft.Entry{}, fmt.Errorf("%w: entry index", ErrCorrupt)
+		return raft.Entry{}, fmt.Errorf("%w: invalid index or missing kind of an entry", ErrCorrupt)
 	}
 	rest := payload[termSize+indexSize:]
 	entry := raft.Entry{Term: term, Index: index, Kind: raft.EntryKind(rest[0])}
@@ -122,7 +121,7 @@
 	for i := range values {
 		value, size := binary.Uvarint(payload)
 		if size <= 0 {
-			return raft.HardState{}, fmt.Errorf("%w: hard state", ErrCorrupt)
+			return raft.HardState{}, fmt.Errorf("%w: invalid hard state", ErrCorrupt)
 		}
 		values[i] = value
 		payload = payload[size:]
@@ -141,7 +140,7 @@
 func decodeSnapshot(payload []byte) (raft.Snapshot, error) {
 	var s raft.Snapshot
 	if err := json.Unmarshal(payload, &s); err != nil {
-		return raft.Snapshot{}, fmt.Errorf("%w: snapshot: %w", ErrCorrupt, err)
+		return raft.Snapshot{}, fmt.Errorf("%w: decode snapshot: %w", ErrCorrupt, err)
 	}
 	return s, nil
 }
--- a/pkg/storage/storage.go
+++ b/pkg/storage/storage.go
@@ -14,63 +14,66 @@
 	identityName = "identity.json"
 )
 
-// ErrFailed: an earlier write failed, so it is unknown what is durable.
-var ErrFailed = errors.New("storage: an earlier write failed; the process must end")
+// ErrDurabilityUnknown means that an earlier sync or log replacement failed, so that it is
+// unknown what is durable, or that the storage is closed.
+var ErrDurabilityUnknown = errors.New("storage: an earlier write failed; the process must exit")
 
-// ErrNoRoom: the disk did not take a write. Nothing of it counts, and the same write may be
-// tried again.
-var ErrNoRoom = errors.New("storage: the disk takes no writes")
+// ErrNoRoom means that the disk rejected a write, for instance because it is full. The write
+// had no effect, and the caller can retry.
+var ErrNoRoom = errors.New("storage: the disk rejected a write")
 
-// ErrNoState: the folder holds no replica.
-var ErrNoState = errors.New("storage: data folder holds no replica")
+// ErrNoState means that the folder contains no replica.
+var ErrNoState = errors.New("storage: data folder contains no replica")
 
-// Identity names the replica that a data folder belongs to. It is written once.
+// Identity identifies the replica to which a data folder belongs. It is written once, when the
+// replica is created.
 type Identity struct {
 	ClusterID string
 	Name      string
 	ReplicaID raft.ReplicaID
 }
 
-// Storage is a replica's open durable state.
+// Storage is the open durable state of a replica. It is not safe for concurrent use.
 type Storage struct {
-	files    FileSystem
+	fsys     FileSystem
 	identity Identity
 	file     File
-	// size counts the bytes in the log file.
+	// size is the number of valid bytes in the log file.
 	size int64
-	// hardState is the last one written; a checkpoint must carry it on.
+	// hardState is the last one written. A checkpoint writes it again.
 	hardState raft.HardState
 	failed    bool
-	// torn is set while the file may hold more than size bytes, after a refused write.
-	torn bool
+	// tornWrite is set while the file may be longer than size because a write failed.
+	tornWrite bool
 }
 
-// Create makes the durable state of a new replica, with its first snapshot.
-func Create(files FileSystem, identity Identity, first raft.Snapshot) error {
+// Create writes the durable state of a new replica with its first snapshot. It fails if the
+// folder already contains a replica, and with ErrNoRoom if the disk rejects a write.
+func Create(fsys FileSystem, identity Identity, first raft.Snapshot) error {
 	content, err := json.Marshal(identity)
 	if err != nil {
 		return fmt.Errorf("create replica: encode identity: %w", err)
 	}
-	if _, err := ReadIdentity(files); !errors.Is(err, ErrNoState) {
+	if _, err := ReadIdentity(fsys); !errors.Is(err, ErrNoState) {
 		return fmt.Errorf("create replica: data folder already holds one (%v)", err)
 	}
-	// The log goes first: without an identity the folder counts as empty.
+	// The identity is written last: a folder without one contains no replica.
 	log, err := encodeLog(first, raft.HardState{}, nil)
 	if err != nil {
 		return fmt.Errorf("create replica: %w", err)
 	}
-	if err := WriteFileAtomic(files, logName, log); err != nil {
+	if err := WriteFileAtomic(fsys, logName, log); err != nil {
 		return fmt.Errorf("create replica: %w: %w", ErrNoRoom, err)
 	}
-	if err := WriteFileAtomic(files, identityName, content); err != nil {
+	if err := WriteFileAtomic(fsys, identityName, content); err != nil {
 		return fmt.Errorf("create replica: %w: %w", ErrNoRoom, err)
 	}
 	return nil
 }
 
-// ReadIdentity returns whose folder this is, or ErrNoState.
-func ReadIdentity(files FileSystem) (Identity, error) {
-	content, err := files.ReadFile(identityName)
+// ReadIdentity returns the identity of the replica in the folder, or ErrNoState.
+func ReadIdentity(fsys FileSystem) (Identity, error) {
+	content, err := fsys.ReadFile(identityName)
 	if errors.Is(err, fs.ErrNotExist) {
 		return Identity{}, ErrNoState
 	}
@@ -84,17 +87,18 @@
 	return identity, nil
 }
 
-// Open recovers a replica's state, cutting a torn tail off.
-func Open(files FileSystem) (*Storage, raft.State, error) {
-	identity, err := ReadIdentity(files)
+// Open recovers a replica's state and truncates a torn write at the end of the log. It returns
+// ErrNoState for a folder without a replica and ErrCorrupt for a damaged log.
+func Open(fsys FileSystem) (*Storage, raft.State, error) {
+	identity, err := ReadIdentity(fsys)
 	if err != nil {
 		return nil, raft.State{}, err
 	}
-	content, err := files.ReadFile(logName)
+	content, err := fsys.ReadFile(logName)
 	if err != nil {
 		return nil, raft.State{}, fmt.Errorf("read log: %w", err)
 	}
-	records, wholeSize, err := scanRecords(content)
+	records, validSize, err := scanRecords(content)
 	if err != nil {
 		return nil, raft.State{}, fmt.Errorf("recover log: %w", err)
 	}
@@ -102,16 +106,16 @@
 	if err != nil {
 		return nil, raft.State{}, fmt.Errorf("recover log: %w", err)
 	}
-	s := &Storage{files: files, identity: identity, size: int64(wholeSize), hardState: state.HardState}
-	if err := s.openLog(wholeSize < len(content)); err != nil {
+	s := &Storage{fsys: fsys, identity: identity, size: int64(validSize), hardState: state.HardState}
+	if err := s.openLog(validSize < len(content)); err != nil {
 		return nil, raft.State{}, fmt.Errorf("recover log: %w", err)
 	}
 	return s, state, nil
 }
 
-// openLog opens the log for appending and cuts a torn tail off durably.
+// openLog opens the log for appending and durably truncates a torn write.
 func (s *Storage) openLog(torn bool) error {
-	file, err := s.files.OpenAppend(logName)
+	file, err := s.fsys.OpenAppend(logName)
 	if err != nil {
 		return fmt.Errorf("open: %w", err)
 	}
@@ -120,76 +124,77 @@
 		return nil
 	}
 	if err := file.Truncate(s.size); err != nil {
-		return fmt.Errorf("cut torn tail: %w", err)
+		return fmt.Errorf("truncate torn write: %w", err)
 	}
 	if err := file.Sync(); err != nil {
-		return fmt.Errorf("sync after cutting torn tail: %w", err)
+		return fmt.Errorf("sync after truncating torn write: %w", err)
 	}
 	return nil
 }
 
-// replay rebuilds the state from the records of a log file.
+// replay reconstructs the state from the records of a log file.
 func replay(records []record) (raft.State, error) {
 	var state raft.State
 	if len(records) == 0 || records[0].kind != recordCheckpoint {
-		return raft.State{}, fmt.Errorf("%w: no checkpoint at the start", ErrCorrupt)
+		return raft.State{}, fmt.Errorf("%w: log does not start with a checkpoint", ErrCorrupt)
 	}
-	for _, next := range records {
-		if err := replayRecord(&state, next); err != nil {
+	for _, rec := range records {
+		if err := replayRecord(&state, rec); err != nil {
 			return raft.State{}, err
 		}
 	}
 	return state, nil
 }
 
-func replayRecord(state *raft.State, next record) error {
-	switch next.kind {
+func replayRecord(state *raft.State, rec record) error {
+	switch rec.kind {
 	case recordCheckpoint:
-		snapshot, err := decodeSnapshot(next.payload)
+		snapshot, err := decodeSnapshot(rec.payload)
 		if err != nil {
 			return err
 		}
 		state.Snapshot = snapshot
 		state.Entries = nil
 	case recordHardState:
-		hard, err := decodeHardState(next.payload)
+		hard, err := decodeHardState(rec.payload)
 		if err != nil {
 			return err
 		}
 		state.HardState = hard
 	case recordEntry:
-		entry, err := decodeEntry(next.payload)
+		entry, err := decodeEntry(rec.payload)
 		if err != nil {
 			return err
 		}
 		return replayEntry(state, entry)
 	default:
-		return fmt.Errorf("%w: unknown record kind %d", ErrCorrupt, next.kind)
+		return fmt.Errorf("%w: unknown record kind %d", ErrCorrupt, rec.kind)
 	}
 	return nil
 }
 
-// replayEntry appends an entry; one that stands there already is replaced with all
-// that follow it.
+// replayEntry appends an entry. It replaces an existing entry of the same index and all entries
+// after it.
 func replayEntry(state *raft.State, entry raft.Entry) error {
 	base := state.Snapshot.Index
 	if entry.Index <= base || entry.Index > base+uint64(len(state.Entries))+1 {
-		return fmt.Errorf("%w: entry %d does not follow", ErrCorrupt, entry.Index)
+		return fmt.Errorf("%w: entry %d does not follow the previous entry", ErrCorrupt, entry.Index)
 	}
 	state.Entries = append(state.Entries[:entry.Index-base-1], entry)
 	return nil
 }
 
-// Identity returns whose state this is.
+// Identity returns the identity of the replica whose state this is.
 func (s *Storage) Identity() Identity { return s.identity }
 
-// Size returns the bytes in the log file.
+// Size returns the size of the log file in bytes.
 func (s *Storage) Size() int64 { return s.size }
 
-// Save makes the durable part of a batch of effects durable.
+// Save makes the hard state, snapshot and entries of a batch of effects durable. After
+// ErrNoRoom the same batch can be saved again.
 func (s *Storage) Save(effects raft.Effects) error {
 	if s.failed {
-		return ErrFailed
+		return ErrDurabilityUnknown
 	}
 	if effects.HardState != nil {
 		s.hardState = *effects.HardState
@@ -207,11 +212,11 @@
 	if len(buffer) == 0 {
 		return nil
 	}
-	if err := s.cutTornWrite(); err != nil {
+	if err := s.truncateTornWrite(); err != nil {
 		return err
 	}
 	if _, err := s.file.Write(buffer); err != nil {
-		s.torn = true
+		s.tornWrite = true
 		return fmt.Errorf("append to log: %w: %w", ErrNoRoom, err)
 	}
 	if err := s.file.Sync(); err != nil {
@@ -222,41 +227,40 @@
 	return nil
 }
 
-// cutTornWrite takes back what a refused write may have left behind.
-func (s *Storage) cutTornWrite() error {
-	if !s.torn {
+// truncateTornWrite removes what a failed write may have appended.
+func (s *Storage) truncateTornWrite() error {
+	if !s.tornWrite {
 		return nil
 	}
 	if err := s.file.Truncate(s.size); err != nil {
-		return fmt.Errorf("cut refused write: %w: %w", ErrNoRoom, err)
+		return fmt.Errorf("truncate failed write: %w: %w", ErrNoRoom, err)
 	}
-	s.torn = false
+	s.tornWrite = false
 	return nil
 }
 
-// Checkpoint replaces the log file by one that starts with a snapshot. With ErrNoRoom the
-// old file stays in force.
+// Checkpoint replaces the log file with one that starts with a snapshot. After ErrNoRoom the
+// old file remains in use.
 func (s *Storage) Checkpoint(snapshot raft.Snapshot, hard raft.HardState, entries []raft.Entry) error {
 	if s.failed {
-		return ErrFailed
+		return ErrDurabilityUnknown
 	}
 	content, err := encodeLog(snapshot, hard, entries)
 	if err != nil {
 		return fmt.Errorf("checkpoint: %w", err)
 	}
-	if err := writeTemporary(s.files, logName, content); err != nil {
+	if err := writeTemporary(s.fsys, logName, content); err != nil {
 		return fmt.Errorf("checkpoint: %w: %w", ErrNoRoom, err)
 	}
-	// From here until the new file is open, an error leaves it unknown which file
-	// is in force.
+	// Until the new file is open, an error leaves it unknown which file is in use.
 	s.failed = true
 	if err := s.file.Close(); err != nil {
 		return fmt.Errorf("checkpoint: close old log: %w", err)
 	}
-	if err := replaceByTemporary(s.files, logName); err != nil {
+	if err := renameTemporary(s.fsys, logName); err != nil {
 		return fmt.Errorf("checkpoint: %w", err)
 	}
-	file, err := s.files.OpenAppend(logName)
+	file, err := s.fsys.OpenAppend(logName)
 	if err != nil {
 		return fmt.Errorf("checkpoint: open new log: %w", err)
 	}
@@ -264,11 +268,11 @@
 	s.size = int64(len(content))
 	s.hardState = hard
 	s.failed = false
-	s.torn = false
+	s.tornWrite = false
 	return nil
 }
 
-// Close closes the log file.
+// Close closes the log file. Later calls of Save and Checkpoint fail.
 func (s *Storage) Close() error {
 	s.failed = true
 	return s.file.Close()
