--- a/pkg/replica/doc.go
+++ b/pkg/replica/doc.go
@@ -1,8 +1,8 @@
-// Package replica joins the consensus core, the durable storage and the catalog into
-// one control replica. It opens no socket and reads no clock; the daemon and the
-// simulator drive the same code.
+// Package replica combines the consensus core, the durable storage and the catalog
+// into one replica of the control plane. It opens no sockets and reads no clock; the
+// daemon and the simulator run the same code.
 //
-// Every call of Flush does, in order: make effects durable, count them, hand out
-// messages, apply what is committed. An error of Flush means that it is unknown what
-// is durable: the process must end without sending anything more.
+// Each call of Flush makes the pending effects durable, returns the messages to send
+// and applies committed entries, in this order. If Flush returns an error, it is
+// unknown what is durable, and the process must exit without sending any message.
 package replica
--- a/pkg/replica/membership.go
+++ b/pkg/replica/membership.go
@@ -13,28 +13,29 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// joinValidity is how long a leader keeps a request to join; the joiner repeats it.
-const joinValidity = 10 * time.Second
+// joinRequestTTL is how long a join request is valid. The joining replica repeats the request.
+const joinRequestTTL = 10 * time.Second
 
-// joinRequest is a replica that wants to replace the machine of the same name.
+// joinRequest is the request of a replica to become a member, with the time at which it was
+// last received.
 type joinRequest struct {
 	member      raft.Member
 	requestedAt time.Duration
 }
 
-// FirstReplicaID returns the ID of a machine's first replica. All machines compute
-// the same ones when a cluster is created.
+// FirstReplicaID returns the ID of a machine's first replica. It is derived from the names, so
+// that all machines compute the same IDs when a cluster is created.
 func FirstReplicaID(clusterID, name string) raft.ReplicaID {
 	return raft.ReplicaID(xxhash.Sum64String(clusterID+"\x00"+name) | 1)
 }
 
-// NewReplicaID draws the ID of a replica on an empty disk.
+// NewReplicaID returns a random ID for a replica on an empty disk.
 func NewReplicaID() raft.ReplicaID {
 	return raft.ReplicaID(rand.Uint64() | 1)
 }
 
-// FirstMembership returns the membership that a cluster is created with. Members
-// carry name, address and zone.
+// FirstMembership returns the membership with which a cluster is created, with every member a
+// voter under its FirstReplicaID.
 func FirstMembership(clusterID string, members []raft.Member) raft.Membership {
 	var membership raft.Membership
 	for _, member := range members {
@@ -45,61 +46,62 @@
 	return membership
 }
 
-// CreateFirst makes the durable state of one of the first replicas of a cluster. It
-// must be done once in the life of a cluster: done again on an empty disk it would
-// make a replica that has forgotten its votes.
-func CreateFirst(files storage.FileSystem, clusterID, name string, members []raft.Member) error {
+// CreateFirst writes the durable state of one of a cluster's first replicas. It must be called
+// only once for each of them: repeated after the loss of a disk, it would create a replica
+// without its earlier votes.
+func CreateFirst(fsys storage.FileSystem, clusterID, name string, members []raft.Member) error {
 	membership := FirstMembership(clusterID, members)
 	identity := storage.Identity{ClusterID: clusterID, Name: name, ReplicaID: FirstReplicaID(clusterID, name)}
 	if _, found := membership.Find(identity.ReplicaID); !found {
 		return fmt.Errorf("create first replica: %q is not among the members", name)
 	}
-	return storage.Create(files, identity, raft.Snapshot{Index: 1, Term: 1, Membership: membership})
+	return storage.Create(fsys, identity, raft.Snapshot{Index: 1, Term: 1, Membership: membership})
 }
 
-// CreateJoining makes the durable state of a replica on an empty disk. It votes for
-// nobody until a leader has given it the log and made it a voter.
-func CreateJoining(files storage.FileSystem, clusterID, name string, id raft.ReplicaID) error {
+// CreateJoining writes the durable state of a replica that joins with an empty disk. It does
+// not vote until a leader has replicated the log to it and made it a voter.
+func CreateJoining(fsys storage.FileSystem, clusterID, name string, id raft.ReplicaID) error {
 	identity := storage.Identity{ClusterID: clusterID, Name: name, ReplicaID: id}
-	return storage.Create(files, identity, raft.Snapshot{})
+	return storage.Create(fsys, identity, raft.Snapshot{})
 }
 
-// Join takes in that a replica on an empty disk wants to take the place of the
-// machine of the same name.
+// Join records the request of a replica to join, or to update its description. If it has the
+// name of an unresponsive member, it replaces that member.
 func (r *Replica) Join(now time.Duration, member raft.Member) {
-	r.joins[member.Name] = joinRequest{member: member, requestedAt: now}
+	r.joinRequests[member.Name] = joinRequest{member: member, requestedAt: now}
 }
 
-// reconcileMembership takes the next single step of a replacement: add the new
-// replica as a learner, promote it once it holds everything committed, remove the
-// old one. The old one goes last, so that at no time fewer copies count than before.
+// reconcileMembership proposes at most one membership change. A join consists of several: add
+// the replica as a learner, promote it when it has everything committed, remove the member that
+// it replaces. Removal is last, so that the number of copies never drops.
 func (r *Replica) reconcileMembership(now time.Duration) {
 	if r.node.Role() != raft.Leader || !r.node.MembershipCommitted() {
 		return
 	}
-	for _, name := range slices.Sorted(maps.Keys(r.joins)) {
-		join := r.joins[name]
-		if now-join.requestedAt > joinValidity {
-			delete(r.joins, name)
+	for _, name := range slices.Sorted(maps.Keys(r.joinRequests)) {
+		join := r.joinRequests[name]
+		if now-join.requestedAt > joinRequestTTL {
+			delete(r.joinRequests, name)
 			continue
 		}
-		next, step := r.nextMembership(now, join.member)
-		if step && r.node.ProposeMembership(next) == nil {
+		next, due := r.nextMembership(now, join.member)
+		if due && r.node.ProposeMembership(next) == nil {
 			return
 		}
 	}
 	if r.removeReplaced(now) {
 		return
 	}
-	r.removeSilent(now)
+	r.removeUnresponsive(now)
 }
 
-// nextMembership returns the next step for a joining replica, if one is due.
+// nextMembership returns the next membership change for a joining replica, and false if none is
+// due.
 func (r *Replica) nextMembership(now time.Duration, joining raft.Member) (raft.Membership, bool) {
 	current := r.node.Membership()
 	member, found := current.Find(joining.ID)
 	if !found {
-		if r.holderOfNameAlive(now, joining) {
+		if r.nameInUse(now, joining) {
 			return raft.Membership{}, false
 		}
 		return current.WithLearner(joining), true
@@ -114,9 +116,9 @@
 	return raft.Membership{}, false
 }
 
-// holderOfNameAlive reports whether another replica of the same name still answers:
-// then the request is a mistake, not a replacement.
-func (r *Replica) holderOfNameAlive(now time.Duration, joining raft.Member) bool {
+// nameInUse reports whether another member of the same name is alive. The join request is then
+// a mistake, not a replacement.
+func (r *Replica) nameInUse(now time.Duration, joining raft.Member) bool {
 	for _, member := range r.node.Membership().Members {
 		if member.Name == joining.Name && member.ID != joining.ID && r.node.Alive(now, member.ID) {
 			return true
@@ -125,8 +127,9 @@
 	return false
 }
 
-// removeReplaced removes one replica for which a later one of the same name stands:
-// the voter that a promoted replica replaces, or a learner whose disk was lost too.
+// removeReplaced proposes to remove one unresponsive member that a later one of the same name
+// replaces: any member if the later one is a voter, a learner in any case. It reports whether
+// it proposed a change.
 func (r *Replica) removeReplaced(now time.Duration) bool {
 	current := r.node.Membership()
 	for i, member := range current.Members {
@@ -140,10 +143,10 @@
 	return false
 }
 
-// removeSilent removes one replica that has been silent for RemoveAfter, as long as more
-// voters stay than the tolerated losses need: a majority must not depend on machines that
-// are gone for good. One that was only cut off keeps its disk and its ID, and joins again.
-func (r *Replica) removeSilent(now time.Duration) {
+// removeUnresponsive proposes to remove one member without contact for RemoveAfter, so that a
+// majority does not depend on machines that are lost. A voter is removed only if enough remain
+// for the tolerated losses. A removed member keeps its disk and ID and can join again.
+func (r *Replica) removeUnresponsive(now time.Duration) {
 	if r.config.RemoveAfter == 0 {
 		return
 	}
@@ -152,7 +155,7 @@
 		if r.node.SinceLastContact(now, member.ID) < r.config.RemoveAfter {
 			continue
 		}
-		if !member.Learner && len(current.Voters()) <= r.config.leastVoters() {
+		if !member.Learner && len(current.Voters()) <= r.config.minVoters() {
 			continue
 		}
 		_ = r.node.ProposeMembership(current.Without(member.ID))
@@ -160,5 +163,6 @@
 	}
 }
 
-// leastVoters is the number of voters at which the tolerated losses leave a majority.
-func (c Config) leastVoters() int { return 2*c.ToleratedLosses + 1 }
+// minVoters returns the number of voters of which a majority remains after the tolerated
+// losses.
+func (c Config) minVoters() int { return 2*c.ToleratedLosses + 1 }
--- a/pkg/replica/orders_test.go
+++ b/pkg/replica/orders_test.go
@@ -12,32 +12,34 @@
 	"github.com/matryer/is"
 )
 
-func (g *group) order(number ProposalID, change orders.Change) {
+// order proposes an order to the leader and requires that it is committed.
+func (g *testCluster) order(number ProposalID, change orders.Change) {
 	g.t.Helper()
 	is := is.New(g.t)
 	_, leader := g.leader()
 	is.True(leader != nil)
 	is.NoErr(leader.Propose(number, catalog.Command{Orders: &change}))
 	g.run(200 * time.Millisecond)
-	last := g.done[len(g.done)-1]
+	last := g.completions[len(g.completions)-1]
 	is.Equal(last.Proposal, number)
 	is.NoErr(last.Err)
 }
 
-// The leader is lost after the others have the entry and before it could answer: the next one has the
-// order, and acknowledges it once more without a change.
-func TestLeaderLostBetweenCommitAndAnswer(t *testing.T) {
+// The leader is lost after the others have received the entry but before it receives their
+// responses. The next leader must have applied the order, and must accept its repetition
+// without a change.
+func TestOrderSurvivesLossOfLeaderBeforeResponse(t *testing.T) {
 	is := is.New(t)
-	g := newGroup(t, "a", "b", "c")
+	g := newTestCluster(t, "a", "b", "c")
 	g.run(2 * time.Second)
 	name, leader := g.leader()
 	evacuate := orders.Change{Evacuate: &orders.Evacuation{Zone: "z"}}
 	is.NoErr(leader.Propose(1, catalog.Command{Orders: &evacuate}))
-	g.run(testTick)    // the entry leaves
-	g.cut[name] = true // and no answer reaches the leader
+	g.run(testTick)         // the leader sends the entry
+	g.isolated[name] = true // no response reaches the leader
 	g.run(3 * time.Second)
-	for _, done := range g.done {
-		is.True(done.Proposal != 1 || done.Err != nil) // it was never told that it is taken
+	for _, done := range g.completions {
+		is.True(done.Proposal != 1 || done.Err != nil) // the old leader must not report success
 	}
 	_, next := g.leader()
 	is.True(next != nil && next != leader)
@@ -45,17 +47,17 @@
 	before := next.State().Revision
 	g.order(2, evacuate)
 	is.Equal(next.State().Revision, before)
-	g.cut[name] = false
+	g.isolated[name] = false
 	g.run(2 * time.Second)
 	is.True(g.replicas[name].State().Orders.Evacuated("z"))
 }
 
-// Everything loses power: the orders come back from the log, and from a snapshot that took the log's place.
-func TestOrdersOutliveTheLossOfPowerEverywhere(t *testing.T) {
+// After a restart the orders must be restored, from the log as well as from a snapshot.
+func TestOrdersSurviveRestartOfAllReplicas(t *testing.T) {
 	for name, entries := range map[string]int{"log": 1, "snapshot": 1200} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			g := newGroup(t, "a")
+			g := newTestCluster(t, "a")
 			g.run(2 * time.Second)
 			g.order(1, orders.Change{Evacuate: &orders.Evacuation{Zone: "z"}})
 			g.order(2, orders.Change{Evacuate: &orders.Evacuation{Zone: "y"}})
@@ -70,8 +72,8 @@
 			is.Equal(r.Node().SnapshotIndex() >= ordered, name == "snapshot")
 			g.restart("a")
 			g.run(2 * time.Second)
-			held := g.replicas["a"].State().Orders
-			is.True(held.Evacuated("z") && !held.Evacuated("y"))
+			restored := g.replicas["a"].State().Orders
+			is.True(restored.Evacuated("z") && !restored.Evacuated("y"))
 		})
 	}
 }
--- a/pkg/replica/replay.go
+++ b/pkg/replica/replay.go
@@ -8,35 +8,34 @@
 )
 
 const (
-	// replayVersions is from how many versions in the log on a snapshot is made once it is
-	// quiet. To apply one again takes about 2 ms of a whole core at 2,300 routes, to read a
-	// snapshot 35 ms (BenchmarkReplay and BenchmarkRestore of pkg/catalog): below it a
-	// snapshot would make a restart slower.
-	replayVersions = 24
-	// replayQuiet is for how long no version must have come: a snapshot takes some 20 ms of a
-	// whole core, which must not delay the next version of a series. replaySpread is what
-	// replicas differ in, so that they don't all stop for it at once.
-	replayQuiet  = 400 * time.Millisecond
-	replaySpread = 600 * time.Millisecond
+	// replayVersionThreshold is the number of versions in the log from which a snapshot makes a
+	// restart faster than replaying them.
+	replayVersionThreshold = 24
+	// replayQuietPeriod is the minimum time since the last version before a snapshot, so that
+	// it does not delay the next version of a series. replayJitter is the range of the
+	// additional delay, which differs between replicas so that they do not all compact at once.
+	replayQuietPeriod = 400 * time.Millisecond
+	replayJitter      = 600 * time.Millisecond
 )
 
-// replayWork is what a restart would have to apply again since the last snapshot. After a loss
-// of all replicas nobody is served until that is done.
-type replayWork struct {
+// replayCost tracks the versions that a restart must replay from the log. A restarted replica
+// serves no requests until that is done.
+type replayCost struct {
 	versions int
 	lastAt   time.Duration
 }
 
-// note takes in a command that was applied.
-func (w *replayWork) note(now time.Duration, command catalog.Command) {
+// record counts an applied command that creates or publishes a version.
+func (w *replayCost) record(now time.Duration, command catalog.Command) {
 	if command.Create != nil || command.Publish != nil {
 		w.versions++
 		w.lastAt = now
 	}
 }
 
-// compactionDue reports whether a snapshot would make a restart faster, and now is a time for it.
-func (w *replayWork) compactionDue(now time.Duration, id raft.ReplicaID) bool {
-	own := time.Duration(uint64(id) % uint64(replaySpread))
-	return w.versions >= replayVersions && now-w.lastAt >= replayQuiet+own
+// compactionDue reports whether a snapshot would make a restart faster and no version arrived
+// lately.
+func (w *replayCost) compactionDue(now time.Duration, id raft.ReplicaID) bool {
+	jitter := time.Duration(uint64(id) % uint64(replayJitter))
+	return w.versions >= replayVersionThreshold && now-w.lastAt >= replayQuietPeriod+jitter
 }
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -13,75 +13,77 @@
 	"bramblelift/pkg/storage"
 )
 
-// Errors of proposals.
+// Errors of Propose and of a Completion.
 var (
-	// ErrNotLeader: another replica must be asked.
+	// ErrNotLeader means that another replica must be asked.
 	ErrNotLeader = raft.ErrNotLeader
-	// ErrUnknownOutcome: leadership was lost before the command was committed; it
-	// may or may not still be.
+	// ErrUnknownOutcome means that leadership was lost before the command was committed. The
+	// command may still be committed later.
 	ErrUnknownOutcome = errors.New("leadership was lost before the outcome was known")
 )
 
-// Config sets up a replica.
+// Config holds the parameters of a Replica.
 type Config struct {
 	Raft raft.Config
-	// CompactAfter is how many applied entries make a new snapshot due.
+	// CompactAfter is the number of applied entries after which a new snapshot is due.
 	CompactAfter uint64
-	// CompactBytes is how many bytes of log do, zero for no bound.
+	// CompactBytes is the number of bytes by which the log grows until a new snapshot is due;
+	// zero means no limit.
 	CompactBytes int64
-	// RemoveAfter is after how much silence the leader removes a replica that is not
-	// needed for a majority; zero for never.
+	// RemoveAfter is the time without contact after which the leader removes a member that is
+	// not needed for the tolerated losses; zero means never.
 	RemoveAfter time.Duration
-	// ToleratedLosses is how many replicas may be lost at once.
+	// ToleratedLosses is the number of replicas that may be lost at the same time.
 	ToleratedLosses int
 }
 
-// ProposalID is the caller's name for a command under way.
+// ProposalID identifies a proposal. The caller chooses it.
 type ProposalID uint64
 
-// Completion ends a proposal.
+// Completion is the outcome of a proposal: a result or an error.
 type Completion struct {
 	Proposal ProposalID
 	Result   catalog.Result
 	Err      error
 }
 
-// Output is what a Flush leaves for the caller.
+// Output is what the caller of Flush must process.
 type Output struct {
 	Messages    []raft.Message
 	Completions []Completion
-	// StateChanged is set when the distributed state moved on.
+	// StateChanged is set if the revision of the distributed state changed.
 	StateChanged bool
 }
 
-type waitingProposal struct {
+// pendingProposal is a proposal in flight, with the term of its log entry.
+type pendingProposal struct {
 	id   ProposalID
 	term uint64
 }
 
-// Replica is one control replica. It is not safe for concurrent use.
+// Replica is one replica of the control plane. It is not safe for concurrent use.
 type Replica struct {
 	config  Config
 	node    *raft.Node
 	storage *storage.Storage
 	catalog *catalog.Catalog
 	applied uint64
-	// waiting holds the proposals under way by log index.
-	waiting map[uint64]waitingProposal
-	joins   map[string]joinRequest
-	// compactedSize is the size of the log right after the last compaction.
+	// pending holds the proposals in flight by log index.
+	pending      map[uint64]pendingProposal
+	joinRequests map[string]joinRequest
+	// compactedSize is the size of the log after the last compaction, in bytes.
 	compactedSize int64
-	replay        replayWork
-	// addresses are where replicas said they are; see Learn.
+	replay        replayCost
+	// addresses holds the addresses that replicas reported themselves; see Learn.
 	addresses map[raft.ReplicaID]string
-	// unsaved are effects that the disk did not take yet. Until it does the replica
-	// stands still, as if the disk were slow: nothing that depends on them has left it.
+	// unsaved holds effects that the disk rejected. Until they are saved the replica processes
+	// nothing, and no message that depends on them is sent.
 	unsaved *raft.Effects
 }
 
-// Open starts a replica from its durable state.
-func Open(now time.Duration, config Config, files storage.FileSystem) (*Replica, error) {
-	opened, state, err := storage.Open(files)
+// Open opens a replica from its durable state. It returns storage.ErrNoState if there is none.
+func Open(now time.Duration, config Config, fsys storage.FileSystem) (*Replica, error) {
+	opened, state, err := storage.Open(fsys)
 	if err != nil {
 		return nil, fmt.Errorf("open replica: %w", err)
 	}
@@ -97,33 +99,33 @@
 	return &Replica{
 		config: config, node: node, storage: opened, catalog: restored,
 		applied: state.Snapshot.Index,
-		waiting: map[uint64]waitingProposal{},
+		pending: map[uint64]pendingProposal{},
 
 		compactedSize: opened.Size(),
-		joins:         map[string]joinRequest{},
+		joinRequests:  map[string]joinRequest{},
 		addresses:     map[raft.ReplicaID]string{},
 	}, nil
 }
 
-// Node returns the consensus core, for reading.
+// Node returns the consensus core. Callers must only read it.
 func (r *Replica) Node() *raft.Node { return r.node }
 
-// Catalog returns the state machine, for reading.
+// Catalog returns the state machine. Callers must only read it.
 func (r *Replica) Catalog() *catalog.Catalog { return r.catalog }
 
-// State returns the distributed state.
+// State returns the state that is distributed to the nodes.
 func (r *Replica) State() *distribution.State { return r.catalog.State() }
 
-// Identity returns whose replica this is.
+// Identity returns the replica's durable identity.
 func (r *Replica) Identity() storage.Identity { return r.storage.Identity() }
 
 // Applied returns the index of the last applied entry.
 func (r *Replica) Applied() uint64 { return r.applied }
 
-// LogBytes returns the size of the durable log.
+// LogBytes returns the size of the log file in bytes.
 func (r *Replica) LogBytes() int64 { return r.storage.Size() }
 
-// Tick lets time-driven work happen.
+// Tick performs due heartbeats, elections and membership changes.
 func (r *Replica) Tick(now time.Duration) {
 	if r.Stalled() {
 		return
@@ -132,7 +134,7 @@
 	r.reconcileMembership(now)
 }
 
-// Step takes in a message from another replica.
+// Step processes a message from another replica.
 func (r *Replica) Step(now time.Duration, m raft.Message) {
 	if r.Stalled() {
 		return
@@ -140,14 +142,14 @@
 	r.node.Step(now, m)
 }
 
-// Learn notes where a replica said it is. A joining replica holds no membership yet
-// and could not answer its leader otherwise.
+// Learn records the address that a replica reported itself. A joining replica has no membership
+// yet and needs the address to respond to its leader.
 func (r *Replica) Learn(id raft.ReplicaID, address string) {
 	r.addresses[id] = address
 }
 
-// Address returns where a replica is reached: as the membership says or, for one that
-// is not in it here, as it said itself.
+// Address returns the address of a replica from the membership or, for one that is not a
+// member, as recorded by Learn. It returns false if there is none.
 func (r *Replica) Address(id raft.ReplicaID) (string, bool) {
 	if member, found := r.node.Membership().Find(id); found {
 		return member.Address, true
@@ -156,7 +158,7 @@
 	return address, found
 }
 
-// Propose starts a command. Its end is told by a Completion.
+// Propose proposes a command. A Completion with the same ID reports its outcome.
 func (r *Replica) Propose(id ProposalID, command catalog.Command) error {
 	if r.Stalled() {
 		return ErrNotLeader
@@ -169,11 +171,12 @@
 	if err != nil {
 		return err
 	}
-	r.waiting[index] = waitingProposal{id: id, term: term}
+	r.pending[index] = pendingProposal{id: id, term: term}
 	return nil
 }
 
-// Flush makes everything pending durable and applies what is committed.
+// Flush makes pending effects durable and applies committed entries. If the disk rejects the
+// write, the replica is stalled and Flush returns no error.
 func (r *Replica) Flush(now time.Duration) (Output, error) {
 	var output Output
 	before := r.catalog.State().Revision
@@ -187,7 +190,7 @@
 				return Output{}, fmt.Errorf("make effects durable: %w", err)
 			}
 			r.unsaved = &effects
-			r.abandonWaiting(&output)
+			r.failPending(&output)
 			return output, nil
 		}
 		r.node.Persisted(effects)
@@ -197,7 +200,7 @@
 		}
 	}
 	if r.node.Role() != raft.Leader {
-		r.abandonWaiting(&output)
+		r.failPending(&output)
 	}
 	if err := r.compactIfDue(now); err != nil {
 		return Output{}, err
@@ -206,8 +209,8 @@
 	return output, nil
 }
 
-// Stalled reports whether the disk refuses what the replica must write. It then takes no
-// part in anything; Flush tries again.
+// Stalled reports whether the disk rejected effects that the replica must save. A stalled
+// replica ignores messages and proposals; each Flush retries the write.
 func (r *Replica) Stalled() bool { return r.unsaved != nil }
 
 func (r *Replica) nextEffects(now time.Duration) raft.Effects {
@@ -227,7 +230,7 @@
 		}
 		r.catalog = restored
 		r.applied = effects.Snapshot.Index
-		r.replay = replayWork{}
+		r.replay = replayCost{}
 	}
 	for _, entry := range effects.Committed {
 		if err := r.applyEntry(now, entry, output); err != nil {
@@ -247,13 +250,13 @@
 			return err
 		}
 		result = r.catalog.Apply(command)
-		r.replay.note(now, command)
+		r.replay.record(now, command)
 	}
-	proposal, found := r.waiting[entry.Index]
+	proposal, found := r.pending[entry.Index]
 	if !found {
 		return nil
 	}
-	delete(r.waiting, entry.Index)
+	delete(r.pending, entry.Index)
 	done := Completion{Proposal: proposal.id, Result: result}
 	if proposal.term != entry.Term {
 		done = Completion{Proposal: proposal.id, Err: ErrUnknownOutcome}
@@ -262,16 +265,17 @@
 	return nil
 }
 
-func (r *Replica) abandonWaiting(output *Output) {
-	for _, index := range slices.Sorted(maps.Keys(r.waiting)) {
-		lost := Completion{Proposal: r.waiting[index].id, Err: ErrUnknownOutcome}
+// failPending completes all proposals in flight with ErrUnknownOutcome.
+func (r *Replica) failPending(output *Output) {
+	for _, index := range slices.Sorted(maps.Keys(r.pending)) {
+		lost := Completion{Proposal: r.pending[index].id, Err: ErrUnknownOutcome}
 		output.Completions = append(output.Completions, lost)
 	}
-	clear(r.waiting)
+	clear(r.pending)
 }
 
-// compactionDue reports whether the log holds enough entries or bytes after its
-// snapshot, or it is quiet and a restart would have much to apply again.
+// compactionDue reports whether enough entries or bytes follow the last snapshot, or no version
+// arrived lately and a snapshot would shorten a restart.
 func (r *Replica) compactionDue(now time.Duration) bool {
 	if r.applied <= r.node.SnapshotIndex() {
 		return false
@@ -288,7 +292,7 @@
 	if !r.compactionDue(now) {
 		return nil
 	}
-	r.replay = replayWork{}
+	r.replay = replayCost{}
 	data, err := r.catalog.Snapshot()
 	if err != nil {
 		return fmt.Errorf("compact: %w", err)
@@ -305,10 +309,10 @@
 	if err != nil && !errors.Is(err, storage.ErrNoRoom) {
 		return fmt.Errorf("compact: %w", err)
 	}
-	// Without room the old log stays in force; the next compaction tries again.
+	// After ErrNoRoom the old log remains in use and the next compaction retries.
 	r.compactedSize = r.storage.Size()
 	return nil
 }
 
-// Close closes the durable state.
+// Close closes the log file.
 func (r *Replica) Close() error { return r.storage.Close() }
--- a/pkg/replica/restart_test.go
+++ b/pkg/replica/restart_test.go
@@ -16,18 +16,19 @@
 	restartVersions = 75
 )
 
-// restartConfig is for a replica that is alone.
+// restartConfig is the configuration of the only replica of a cluster.
 func restartConfig() Config {
 	return Config{
 		Raft: raft.Config{
-			ElectionTimeout: testElection, HeartbeatInterval: testHeartbeat, MaxAppendBytes: 1 << 20, KeepEntries: 100,
+			ElectionTimeout: testElectionTimeout, HeartbeatInterval: testHeartbeatInterval, MaxAppendBytes: 1 << 20, KeepEntries: 100,
 			Random: func(int64) int64 { return 0 },
 		},
 		CompactAfter: 4000,
 	}
 }
 
-// restartContent is a bundle of many routes in one of its versions.
+// restartContent returns the given version of a bundle with many routes. Versions differ in one
+// route.
 func restartContent(version int) (bundle.Content, []byte) {
 	c := bundle.Content{Services: []bundle.Service{{Name: "orders"}}}
 	source := fmt.Appendf(nil, `{"version":%d,"routes":[`, version)
@@ -45,13 +46,13 @@
 	return c.Normalized(), source
 }
 
-// writeVersions makes a folder with a log of versions.
+// writeVersions creates a replica whose log contains restartVersions versions.
 func writeVersions(tb testing.TB) storage.FileSystem {
 	tb.Helper()
-	files, err := storage.OpenFolder(tb.TempDir())
+	fsys, err := storage.OpenFolder(tb.TempDir())
 	must(tb, err)
-	must(tb, CreateFirst(files, "c", "a", []raft.Member{{Name: "a", Address: "a"}}))
-	r := openLeading(tb, files)
+	must(tb, CreateFirst(fsys, "c", "a", []raft.Member{{Name: "a", Address: "a"}}))
+	r := openLeader(tb, fsys)
 	for version := 1; version <= restartVersions; version++ {
 		content, source := restartContent(version)
 		tree, err := bundle.NewTree(content)
@@ -67,13 +68,13 @@
 		}
 	}
 	must(tb, r.Close())
-	return files
+	return fsys
 }
 
-// openLeading opens a replica that is alone and lets it lead.
-func openLeading(tb testing.TB, files storage.FileSystem) *Replica {
+// openLeader opens the only replica of a cluster and makes it the leader.
+func openLeader(tb testing.TB, fsys storage.FileSystem) *Replica {
 	tb.Helper()
-	r, err := Open(0, restartConfig(), files)
+	r, err := Open(0, restartConfig(), fsys)
 	must(tb, err)
 	r.Tick(time.Minute)
 	_, err = r.Flush(time.Minute)
@@ -88,12 +89,12 @@
 	}
 }
 
-// BenchmarkRestart is from a log on disk to a replica that leads and has applied all of it.
+// BenchmarkRestart measures a restart from the log, up to leadership with all versions applied.
 func BenchmarkRestart(b *testing.B) {
-	files := writeVersions(b)
+	fsys := writeVersions(b)
 	b.ResetTimer()
 	for range b.N {
-		r := openLeading(b, files)
+		r := openLeader(b, fsys)
 		if r.Catalog().HeadVersion() != restartVersions {
 			b.Fatalf("head is %d", r.Catalog().HeadVersion())
 		}
