--- a/pkg/clock/clock.go
+++ b/pkg/clock/clock.go
@@ -1,4 +1,5 @@
-// Package clock reads a steady clock that starts with the process.
+// Package clock provides a monotonic clock that includes the time while the machine is
+// suspended, and the exponential decay of observations.
 package clock
 
 import (
@@ -7,98 +8,98 @@
 	"time"
 )
 
-// jumpLimit is by how much the time of day may drift from the steady clock before the machine is
-// asked whether it was suspended. A time service that corrects a clock by 500 parts in a million
-// takes 20 s for it, and no lease is so short that this much would matter.
-const jumpLimit = 10 * time.Millisecond
+// suspendCheckThreshold is the jump of the wall clock against the monotonic clock at which the
+// clock checks for a suspension. It is short compared with a lease, and a time service that
+// slews the wall clock by 500 ppm takes 20 s to reach it.
+const suspendCheckThreshold = 10 * time.Millisecond
 
-// Clock is a steady clock that counts whole milliseconds from when it was made. It goes on while
-// the process is stopped and while the machine is suspended, so a lease does not outlive either.
-// Its zero value does not work.
-//
-// The kernel's steady clock stands still while the machine is suspended. The one that does not is
-// read by a system call, which takes too long for each look. The time of day goes on, too, and comes
-// with the steady clock for 34 ns (BenchmarkElapsed), but may be set: a jump of it only says when to ask.
+// Clock is a monotonic clock that starts at zero when it is created and includes suspensions of
+// the machine, so that leases expire during them. Reading the suspended time takes a system
+// call, so it is read only when the wall clock jumps, as it does after a suspension or when it
+// is set. Clock is safe for concurrent use; its zero value is not usable.
 type Clock struct {
-	read      func() reading
-	suspended func() (time.Duration, error)
-	start     reading
+	read          func() reading
+	readSuspended func() (time.Duration, error)
+	start         reading
 
-	mu   sync.Mutex
-	held atomic.Pointer[correction]
+	mu         sync.Mutex
+	correction atomic.Pointer[correction]
 }
 
-// reading is one look at the machine's clocks.
+// reading is one reading of the machine's clocks.
 type reading struct {
-	// steady stands still while the machine is suspended.
-	steady time.Duration
-	wall   time.Time
+	// monotonic stops while the machine is suspended.
+	monotonic time.Duration
+	wall      time.Time
 }
 
-// correction is what the steady clock has missed.
+// correction is the suspended time that the monotonic clock does not include.
 type correction struct {
-	// gap is by how much the time of day was ahead when the machine was asked.
+	// gap is the result of reading.gap when the suspended time was last read.
 	gap time.Duration
-	// missed is how long the machine has been suspended since the clock was made, asleep since it
-	// was started.
-	missed, asleep time.Duration
+	// sinceStart is the time that the machine has been suspended since the clock was created,
+	// sinceBoot since the machine was booted.
+	sinceStart, sinceBoot time.Duration
 }
 
-// New returns a clock that starts now.
+// New returns a clock that starts now. If the kernel cannot report the suspended time, the
+// clock does not include it.
 func New() *Clock {
 	origin := time.Now()
 	return newClock(func() reading {
 		now := time.Now()
-		return reading{steady: now.Sub(origin), wall: now.Round(0)}
+		return reading{monotonic: now.Sub(origin), wall: now.Round(0)}
 	}, suspendedTime)
 }
 
-func newClock(read func() reading, suspended func() (time.Duration, error)) *Clock {
-	c := &Clock{read: read, suspended: suspended, start: read()}
-	first := &correction{}
-	// A machine that cannot tell was never suspended as far as the clock knows.
-	if asleep, err := suspended(); err == nil {
-		first.asleep = asleep
+func newClock(read func() reading, readSuspended func() (time.Duration, error)) *Clock {
+	c := &Clock{read: read, readSuspended: readSuspended, start: read()}
+	initial := &correction{}
+	// If the suspended time cannot be read, the machine is assumed to have never been
+	// suspended.
+	if suspended, err := readSuspended(); err == nil {
+		initial.sinceBoot = suspended
 	}
-	c.held.Store(first)
+	c.correction.Store(initial)
 	return c
 }
 
-// Millis returns the milliseconds since the clock was made.
+// Millis returns the whole milliseconds since the clock was created.
 func (c *Clock) Millis() int64 { return c.Elapsed().Milliseconds() }
 
-// Now returns the same as a duration.
+// Now returns the time since the clock was created, truncated to milliseconds.
 func (c *Clock) Now() time.Duration { return time.Duration(c.Millis()) * time.Millisecond }
 
-// Elapsed is Now in full, for what takes less than a millisecond, such as the service times of the
-// data plane.
+// Elapsed returns the time since the clock was created at full resolution, for measurements
+// below a millisecond such as service times.
 func (c *Clock) Elapsed() time.Duration {
 	now := c.read()
-	elapsed := now.steady - c.start.steady
-	held := c.held.Load()
-	if jump := now.gap(c.start) - held.gap; jump > jumpLimit || jump < -jumpLimit {
-		held = c.ask()
+	elapsed := now.monotonic - c.start.monotonic
+	current := c.correction.Load()
+	if jump := now.gap(c.start) - current.gap; jump > suspendCheckThreshold || jump < -suspendCheckThreshold {
+		current = c.updateCorrection()
 	}
-	return elapsed + held.missed
+	return elapsed + current.sinceStart
 }
 
-// gap is by how much the time of day has run ahead of the steady clock since an earlier reading.
+// gap returns how far the wall clock has advanced more than the monotonic clock since start.
 func (r reading) gap(start reading) time.Duration {
-	return r.wall.Sub(start.wall) - (r.steady - start.steady)
+	return r.wall.Sub(start.wall) - (r.monotonic - start.monotonic)
 }
 
-// ask asks the machine how long it was suspended.
-func (c *Clock) ask() *correction {
+// updateCorrection reads the machine's suspended time and returns the new correction.
+func (c *Clock) updateCorrection() *correction {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	held := c.held.Load()
-	next := &correction{gap: c.read().gap(c.start), missed: held.missed, asleep: held.asleep}
-	asleep, err := c.suspended()
-	// The kernel's clocks are read one after the other: less than a millisecond is no sleep.
-	if err == nil && asleep-held.asleep >= time.Millisecond {
-		next.missed += asleep - held.asleep
-		next.asleep = asleep
+	current := c.correction.Load()
+	next := &correction{gap: c.read().gap(c.start), sinceStart: current.sinceStart, sinceBoot: current.sinceBoot}
+	suspended, err := c.readSuspended()
+	// The kernel's clocks are not read at the same instant, so differences below a millisecond
+	// are ignored.
+	if err == nil && suspended-current.sinceBoot >= time.Millisecond {
+		next.sinceStart += suspended - current.sinceBoot
+		next.sinceBoot = suspended
 	}
-	c.held.Store(next)
+	c.correction.Store(next)
 	return next
 }
