--- a/pkg/raft/deferral.go
+++ b/pkg/raft/deferral.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// electionDeferral makes replicas that win their pre-votes at the same time stand for election
-// one after the other. In a large cluster that starts at once, many replicas can win their
-// pre-votes in the same moment. If all of them stood, the votes would be split and an election
-// timeout would pass without a leader.
+// electionDeferral orders the elections of replicas that win their pre-votes at the same time.
+// In a large cluster that starts at once, many replicas can win in the same moment. If all of
+// them started an election, the votes would be split and an election timeout would pass without
+// a leader.
 type electionDeferral struct {
 	// preferredUntil is the time until which another, preferred replica is assumed to be asking
 	// for pre-votes.
@@ -30,7 +30,7 @@
 	n.deferral.preferredUntil = now + 2*n.config.HeartbeatInterval
 }
 
-// shouldDefer reports whether another replica should stand for election first.
+// shouldDefer reports whether to let a preferred replica start its election first.
 func (n *Node) shouldDefer(now time.Duration) bool {
 	return now < n.deferral.preferredUntil && !n.deferral.deferred
 }
--- a/pkg/raft/deferral_test.go
+++ b/pkg/raft/deferral_test.go
@@ -93,7 +93,7 @@
 }
 
 // When all replicas of a large cluster start at once, several win their pre-votes in the same
-// moment. They must not all stand for election and split the votes.
+// moment. They must not all start elections and split the votes.
 func TestLargeClusterStartDoesNotSplitVotes(t *testing.T) {
 	const seeds, spread = 60, 300 * time.Millisecond
 	slow := 0
--- a/pkg/raft/doc.go
+++ b/pkg/raft/doc.go
@@ -12,17 +12,17 @@
 //  3. send Effects.Messages;
 //  4. apply Effects.Committed to its state machine and call Applied.
 //
-// If a batch cannot be made durable, the process must exit: the node's state in
-// memory already includes it.
+// If a batch cannot be made durable, the caller must retry this batch before it
+// calls the node again, or exit: the node's state in memory already includes it.
 //
 // # What is implemented
 //
 // Names follow "In Search of an Understandable Consensus Algorithm" (Ongaro and
 // Ousterhout) and Ongaro's dissertation: leader election with pre-vote (9.6),
 // check-quorum (6.2), leader lease bounded by clock drift (6.4.1), learners
-// (4.2.1), one membership change at a time (4.1, where
-// a leader first commits an entry of its own term), log compaction and snapshot
-// installation (7).
+// (4.2.1), one membership change at a time (4.1, with the addition that a leader
+// first commits an entry of its own term), log compaction and snapshot installation
+// (7).
 //
 // # Invariants
 //
--- a/pkg/raft/election.go
+++ b/pkg/raft/election.go
@@ -13,7 +13,7 @@
 		n.vote = 0
 	}
 	if n.role == Leader {
-		// A leader does not maintain its election deadline.
+		// A leader does not update its election deadline, so it may have passed.
 		n.resetElectionDeadline(now)
 	}
 	n.role = Follower
--- a/pkg/replica/membership.go
+++ b/pkg/replica/membership.go
@@ -23,8 +23,8 @@
 	requestedAt time.Duration
 }
 
-// FirstReplicaID returns the ID of a machine's first replica. It is derived from the names, so
-// that all machines compute the same IDs when a cluster is created.
+// FirstReplicaID returns the ID of a machine's first replica. It is a hash of cluster ID and
+// name, so that all machines compute the same IDs when a cluster is created.
 func FirstReplicaID(clusterID, name string) raft.ReplicaID {
 	return raft.ReplicaID(xxhash.Sum64String(clusterID+"\x00"+name) | 1)
 }
--- a/pkg/replica/orders_test.go
+++ b/pkg/replica/orders_test.go
@@ -13,14 +13,14 @@
 )
 
 // order proposes an order to the leader and requires that it is committed.
-func (g *testCluster) order(number ProposalID, change orders.Change) {
-	g.t.Helper()
-	is := is.New(g.t)
-	_, leader := g.leader()
+func (c *testCluster) order(number ProposalID, change orders.Change) {
+	c.t.Helper()
+	is := is.New(c.t)
+	_, leader := c.leader()
 	is.True(leader != nil)
 	is.NoErr(leader.Propose(number, catalog.Command{Orders: &change}))
-	g.run(200 * time.Millisecond)
-	last := g.completions[len(g.completions)-1]
+	c.run(200 * time.Millisecond)
+	last := c.completions[len(c.completions)-1]
 	is.Equal(last.Proposal, number)
 	is.NoErr(last.Err)
 }
@@ -30,26 +30,26 @@
 // without a change.
 func TestOrderSurvivesLossOfLeaderBeforeResponse(t *testing.T) {
 	is := is.New(t)
-	g := newTestCluster(t, "a", "b", "c")
-	g.run(2 * time.Second)
-	name, leader := g.leader()
+	c := newTestCluster(t, "a", "b", "c")
+	c.run(2 * time.Second)
+	name, leader := c.leader()
 	evacuate := orders.Change{Evacuate: &orders.Evacuation{Zone: "z"}}
 	is.NoErr(leader.Propose(1, catalog.Command{Orders: &evacuate}))
-	g.run(testTick)         // the leader sends the entry
-	g.isolated[name] = true // no response reaches the leader
-	g.run(3 * time.Second)
-	for _, done := range g.completions {
+	c.run(testTick)         // the leader sends the entry
+	c.isolated[name] = true // no response reaches the leader
+	c.run(3 * time.Second)
+	for _, done := range c.completions {
 		is.True(done.Proposal != 1 || done.Err != nil) // the old leader must not report success
 	}
-	_, next := g.leader()
+	_, next := c.leader()
 	is.True(next != nil && next != leader)
 	is.True(next.State().Orders.Evacuated("z"))
 	before := next.State().Revision
-	g.order(2, evacuate)
+	c.order(2, evacuate)
 	is.Equal(next.State().Revision, before)
-	g.isolated[name] = false
-	g.run(2 * time.Second)
-	is.True(g.replicas[name].State().Orders.Evacuated("z"))
+	c.isolated[name] = false
+	c.run(2 * time.Second)
+	is.True(c.replicas[name].State().Orders.Evacuated("z"))
 }
 
 // After a restart the orders must be restored, from the log as well as from a snapshot.
@@ -57,22 +57,22 @@
 	for name, entries := range map[string]int{"log": 1, "snapshot": 1200} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			g := newTestCluster(t, "a")
-			g.run(2 * time.Second)
-			g.order(1, orders.Change{Evacuate: &orders.Evacuation{Zone: "z"}})
-			g.order(2, orders.Change{Evacuate: &orders.Evacuation{Zone: "y"}})
-			g.order(3, orders.Change{Readmit: "y"})
-			r := g.replicas["a"]
-			ordered := r.Applied()
+			c := newTestCluster(t, "a")
+			c.run(2 * time.Second)
+			c.order(1, orders.Change{Evacuate: &orders.Evacuation{Zone: "z"}})
+			c.order(2, orders.Change{Evacuate: &orders.Evacuation{Zone: "y"}})
+			c.order(3, orders.Change{Readmit: "y"})
+			r := c.replicas["a"]
+			orderIndex := r.Applied()
 			for i := range entries {
 				change := distribution.Endpoint{Service: "s", ID: fmt.Sprint(i), Incarnation: 1}
 				is.NoErr(r.Propose(ProposalID(100+i), catalog.Command{Endpoints: &catalog.Endpoints{Changes: []distribution.Endpoint{change}}}))
 			}
-			g.run(100 * time.Millisecond)
-			is.Equal(r.Node().SnapshotIndex() >= ordered, name == "snapshot")
-			g.restart("a")
-			g.run(2 * time.Second)
-			restored := g.replicas["a"].State().Orders
+			c.run(100 * time.Millisecond)
+			is.Equal(r.Node().SnapshotIndex() >= orderIndex, name == "snapshot")
+			c.restart("a")
+			c.run(2 * time.Second)
+			restored := c.replicas["a"].State().Orders
 			is.True(restored.Evacuated("z") && !restored.Evacuated("y"))
 		})
 	}
--- a/pkg/replica/replay.go
+++ b/pkg/replica/replay.go
@@ -26,16 +26,16 @@
 }
 
 // record counts an applied command that creates or publishes a version.
-func (w *replayCost) record(now time.Duration, command catalog.Command) {
+func (c *replayCost) record(now time.Duration, command catalog.Command) {
 	if command.Create != nil || command.Publish != nil {
-		w.versions++
-		w.lastAt = now
+		c.versions++
+		c.lastAt = now
 	}
 }
 
 // compactionDue reports whether a snapshot would make a restart faster and no version arrived
-// lately.
-func (w *replayCost) compactionDue(now time.Duration, id raft.ReplicaID) bool {
+// recently.
+func (c *replayCost) compactionDue(now time.Duration, id raft.ReplicaID) bool {
 	jitter := time.Duration(uint64(id) % uint64(replayJitter))
-	return w.versions >= replayVersionThreshold && now-w.lastAt >= replayQuietPeriod+jitter
+	return c.versions >= replayVersionThreshold && now-c.lastAt >= replayQuietPeriod+jitter
 }
--- a/pkg/replica/replay_test.go
+++ b/pkg/replica/replay_test.go
@@ -23,20 +23,20 @@
 	is.NoErr(err)
 	is.Equal(r.LogBytes(), size) // no second snapshot without new versions
 	is.NoErr(r.Close())
-	again, err := Open(0, restartConfig(), fsys)
+	reopened, err := Open(0, restartConfig(), fsys)
 	is.NoErr(err)
-	is.Equal(again.Catalog().HeadVersion(), uint64(restartVersions)) // the snapshot contains all versions
-	is.NoErr(again.Close())
+	is.Equal(reopened.Catalog().HeadVersion(), uint64(restartVersions)) // the snapshot contains all versions
+	is.NoErr(reopened.Close())
 }
 
 // No snapshot is due while versions arrive, or for only a few versions.
 func TestNoCompactionWhileVersionsArrive(t *testing.T) {
 	is := is.New(t)
-	w := replayCost{versions: replayVersionThreshold, lastAt: time.Minute}
-	is.True(!w.compactionDue(time.Minute+replayQuietPeriod-1, 0))
-	is.True(w.compactionDue(time.Minute+replayQuietPeriod, 0))
-	w.versions--
-	is.True(!w.compactionDue(time.Hour, 0))
+	c := replayCost{versions: replayVersionThreshold, lastAt: time.Minute}
+	is.True(!c.compactionDue(time.Minute+replayQuietPeriod-1, 0))
+	is.True(c.compactionDue(time.Minute+replayQuietPeriod, 0))
+	c.versions--
+	is.True(!c.compactionDue(time.Hour, 0))
 }
 
 // BenchmarkRestartAfterSnapshot measures a restart after compaction, up to leadership with all
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -275,7 +275,7 @@
 }
 
 // compactionDue reports whether enough entries or bytes follow the last snapshot, or no version
-// arrived lately and a snapshot would shorten a restart.
+// arrived recently and a snapshot would shorten a restart.
 func (r *Replica) compactionDue(now time.Duration) bool {
 	if r.applied <= r.node.SnapshotIndex() {
 		return false
