--- a/pkg/catalog/catalog.go
+++ b/pkg/catalog/catalog.go
@@ -14,50 +14,53 @@
 )
 
 const (
-	// RememberedOperations is how many operations back a resend is recognised.
-	RememberedOperations = 4096
-	// keptContents is how many of the newest versions keep their content at most, and
-	// keptItems how many routes, services and secrets their contents may have together before
-	// older ones lose it; minKeptContents always keep it. A route takes some 300 bytes: 64
-	// contents of 2,300 routes were 40 MB of each replica, and half of the time of a restart.
-	keptContents    = 64
+	// MaxStoredResults is the number of most recent operations whose results are kept, so that
+	// a resent command is not executed twice.
+	MaxStoredResults = 4096
+	// maxKeptContents, minKeptContents and maxKeptItems bound the memory of a replica and its restart
+	// time: superseded versions keep their content only among the maxKeptContents newest versions,
+	// and, beyond the minKeptContents newest, only while all contents together have at most
+	// maxKeptItems routes, services, secrets and tenants.
+	maxKeptContents = 64
 	minKeptContents = 8
-	keptItems       = 24_000
-	// keptVersions is how many of the newest versions are listed at all.
-	keptVersions = 4096
+	maxKeptItems    = 24_000
+	// maxKeptVersions is the number of newest versions whose records are kept.
+	maxKeptVersions = 4096
 )
 
-// Status is how far a version has come.
+// Status is the lifecycle state of a version.
 type Status string
 
 const (
-	// StatusCreated versions wait for approval.
+	// StatusCreated: the version waits for approval.
 	StatusCreated Status = "created"
-	// StatusApproved versions may be rolled.
+	// StatusApproved: the version may be rolled.
 	StatusApproved Status = "approved"
-	// StatusActive is the version in force.
+	// StatusActive: the version is the active one.
 	StatusActive Status = "active"
-	// StatusSuperseded versions were in force, or were passed over.
+	// StatusSuperseded: a later version was rolled; this one can never become active again.
 	StatusSuperseded Status = "superseded"
 )
 
-// Version is one version as the catalog keeps it.
+// Version is the record of one bundle version.
 type Version struct {
 	Manifest bundle.Manifest `json:"manifest"`
 	Status   Status          `json:"status"`
 	Approval bundle.Approval `json:"approval"`
-	// SourceDigest identifies the document that the version was published from; zero if
-	// it was not published.
+	// SourceDigest is the digest of the source document that the version was published from,
+	// zero for a version made by Create.
 	SourceDigest bundle.Digest `json:"source_digest,omitzero"`
-	// Content is nil once the version is too old.
+	// Content is nil after the content of a superseded version was dropped.
 	Content *bundle.Content `json:"content,omitempty"`
-	// CreatedMillis, ApprovedMillis and RolledMillis are Unix milliseconds.
+	// CreatedMillis, ApprovedMillis and RolledMillis are Unix times in milliseconds, taken from the
+	// clock of the leader that proposed the command.
 	CreatedMillis  int64 `json:"created_millis"`
 	ApprovedMillis int64 `json:"approved_millis,omitempty"`
 	RolledMillis   int64 `json:"rolled_millis,omitempty"`
 }
 
-// operation is a remembered answer.
+// operation stores the result of an executed command for resends. Request is the digest of the
+// command.
 type operation struct {
 	Request string `json:"request"`
 	Result  Result `json:"result"`
@@ -65,12 +68,14 @@
 
 // Catalog is the state machine. It is not safe for concurrent use.
 type Catalog struct {
-	Head         uint64
-	Versions     map[uint64]*Version
+	// Head is the number of the newest version, zero if there is none.
+	Head     uint64
+	Versions map[uint64]*Version
+	// Operations holds the stored results by operation ID; Order lists the IDs, oldest first.
 	Operations   map[string]operation
 	Order        []string
 	Distribution *distribution.State
-	// Source is the document that the head was published from, nil if it was not.
+	// Source is the source document of the head, nil if the head was made by Create.
 	Source []byte
 	hasher *bundle.Hasher
 }
@@ -85,35 +90,36 @@
 	}
 }
 
-// State returns the distributed state.
+// State returns the state that is distributed to relays and nodes.
 func (c *Catalog) State() *distribution.State { return c.Distribution }
 
-// HeadVersion returns the newest version, zero if there is none.
+// HeadVersion returns the number of the newest version, zero if there is none.
 func (c *Catalog) HeadVersion() uint64 { return c.Head }
 
-// Lookup returns a version.
+// Lookup returns the record of a version and whether the catalog still has one.
 func (c *Catalog) Lookup(version uint64) (Version, bool) {
-	found, ok := c.Versions[version]
+	record, ok := c.Versions[version]
 	if !ok {
 		return Version{}, false
 	}
-	return *found, true
+	return *record, true
 }
 
-// Apply executes one command.
+// Apply executes one command of the log and returns its result. A command whose operation ID was
+// used before returns the stored result, or an error if the two commands differ.
 func (c *Catalog) Apply(command Command) Result {
 	if command.OperationID == "" {
 		return c.execute(command)
 	}
 	request := requestDigest(command)
-	if earlier, found := c.Operations[command.OperationID]; found {
-		if earlier.Request != request {
-			return c.refuse(CodeOperationReused, "operation ID %s was used for another request", command.OperationID)
+	if previous, found := c.Operations[command.OperationID]; found {
+		if previous.Request != request {
+			return c.reject(CodeOperationReused, "operation ID %s was used for another request", command.OperationID)
 		}
-		return earlier.Result
+		return previous.Result
 	}
 	result := c.execute(command)
-	c.rememberOperation(command.OperationID, operation{Request: request, Result: result})
+	c.recordOperation(command.OperationID, operation{Request: request, Result: result})
 	return result
 }
 
@@ -137,29 +143,29 @@
 		c.Distribution = c.Distribution.ChangeOrders(*command.Orders)
 		return Result{Revision: c.Distribution.Revision}
 	default:
-		return c.refuse(CodeInvalidRequest, "empty command")
+		return c.reject(CodeInvalidRequest, "empty command")
 	}
 }
 
 func (c *Catalog) create(request Create, atMillis int64) Result {
-	if refusal := c.checkHead(request.ExpectedHead); refusal != nil {
-		return *refusal
+	if rejection := c.checkHead(request.ExpectedHead); rejection != nil {
+		return *rejection
 	}
-	content, refusal := c.contentOf(request)
-	if refusal != nil {
-		return *refusal
+	content, rejection := c.resolveContent(request)
+	if rejection != nil {
+		return *rejection
 	}
-	version := c.add(c.Head+1, request.Digest, content, atMillis)
+	version := c.addVersion(c.Head+1, request.Digest, content, atMillis)
 	c.Source = nil
-	return c.answer(version)
+	return c.resultFor(version)
 }
 
-// checkHead refuses a version that does not build on the head.
+// checkHead returns a conflict if the expected head is not the head.
 func (c *Catalog) checkHead(expected uint64) *Result {
 	if expected == c.Head {
 		return nil
 	}
-	result := c.refuse(CodeConflict, "expected head %d, but version %d was created meanwhile", expected, c.Head)
+	result := c.reject(CodeConflict, "expected head %d, but version %d was created meanwhile", expected, c.Head)
 	if head, found := c.Versions[c.Head]; found {
 		winner := head.Manifest
 		result.Error.Winner = &winner
@@ -167,23 +173,24 @@
 	return &result
 }
 
-// add makes a checked content the head, under a number above the present one.
-func (c *Catalog) add(number uint64, digest bundle.Digest, content bundle.Content, atMillis int64) *Version {
+// addVersion stores a validated content as a new version and makes it the head. The number must be above
+// the current head.
+func (c *Catalog) addVersion(number uint64, digest bundle.Digest, content bundle.Content, atMillis int64) *Version {
 	version := &Version{
 		Manifest: bundle.Manifest{Version: number, Parent: c.Head, Digest: digest},
 		Status:   StatusCreated, Content: &content, CreatedMillis: atMillis,
 	}
 	c.Versions[number] = version
 	c.Head = number
-	c.forgetOldVersions()
+	c.pruneVersions()
 	return version
 }
 
-// NewCreate returns the request for a version on top of a head: as a delta, if the head's
-// content is known here. Two bundles in a row are nearly equal, and the log goes to
-// every replica and disk.
+// NewCreate returns the request that creates a version on top of the expected head. The content is
+// sent as a delta to that of the head, if the catalog has it, because consecutive bundles differ
+// little and every replica stores the log.
 func (c *Catalog) NewCreate(expectedHead uint64, content bundle.Content, digest bundle.Digest) *Create {
-	request := &Create{ExpectedHead: expectedHead, Digest: digest, level: levelOf(content)}
+	request := &Create{ExpectedHead: expectedHead, Digest: digest, level: requiredLevel(content)}
 	base := bundle.Content{}
 	if parent, found := c.Versions[expectedHead]; found && parent.Content != nil {
 		request.Base = expectedHead
@@ -193,34 +200,34 @@
 	return request
 }
 
-// contentOf rebuilds the content of a request whose expected head is the head, and
-// checks it whole.
-func (c *Catalog) contentOf(request Create) (bundle.Content, *Result) {
+// resolveContent builds the content of a request from its base and delta, validates it and checks its
+// digest.
+func (c *Catalog) resolveContent(request Create) (bundle.Content, *Result) {
 	base := bundle.Content{}
 	if request.Base != 0 {
 		parent, found := c.Versions[request.Base]
 		if !found || parent.Content == nil {
-			refusal := c.refuse(CodeUnknownVersion, "the content of version %d, on which the new one builds, is not kept", request.Base)
-			return base, &refusal
+			rejection := c.reject(CodeUnknownVersion, "the content of version %d, on which the new one builds, is not kept", request.Base)
+			return base, &rejection
 		}
 		base = *parent.Content
 	}
 	content := base.Apply(request.Delta)
 	if err := content.Validate(); err != nil {
-		refusal := c.refuseInvalid(err)
-		return base, &refusal
+		rejection := c.rejectInvalid(err)
+		return base, &rejection
 	}
 	if _, err := c.hasher.TreeFor(content, request.Digest); err != nil {
-		refusal := c.refuse(CodeInvalidBundle, "the content does not match its digest %s", request.Digest.Short())
-		return base, &refusal
+		rejection := c.reject(CodeInvalidBundle, "the content does not match its digest %s", request.Digest.Short())
+		return base, &rejection
 	}
 	return content, nil
 }
 
 func (c *Catalog) approve(request Approve, atMillis int64) Result {
-	version, refusal := c.usable(request.Version)
-	if refusal != nil {
-		return *refusal
+	version, rejection := c.usableVersion(request.Version)
+	if rejection != nil {
+		return *rejection
 	}
 	if version.Status == StatusCreated {
 		version.Status = StatusApproved
@@ -228,10 +235,10 @@
 		version.ApprovedMillis = atMillis
 		c.stage(version)
 	}
-	return c.answer(version)
+	return c.resultFor(version)
 }
 
-// stage lets holders fetch an approved version ahead, unless a later one is staged.
+// stage distributes an approved version ahead of its activation, unless a later one is staged.
 func (c *Catalog) stage(version *Version) {
 	staged := c.Distribution.Staged
 	if staged != nil && staged.Manifest.Version > version.Manifest.Version {
@@ -241,21 +248,21 @@
 }
 
 func (c *Catalog) roll(request Roll, atMillis int64) Result {
-	version, refusal := c.usable(request.Version)
-	if refusal != nil {
-		return *refusal
+	version, rejection := c.usableVersion(request.Version)
+	if rejection != nil {
+		return *rejection
 	}
 	switch version.Status {
 	case StatusActive:
-		return c.answer(version)
+		return c.resultFor(version)
 	case StatusCreated:
-		return c.refuse(CodeNotApproved, "version %d is not approved", request.Version)
+		return c.reject(CodeNotApproved, "version %d is not approved", request.Version)
 	}
 	c.activate(version, atMillis)
-	return c.answer(version)
+	return c.resultFor(version)
 }
 
-// activate puts a version into force and supersedes all earlier ones.
+// activate makes a version the active one and marks all earlier versions as superseded.
 func (c *Catalog) activate(version *Version, atMillis int64) {
 	c.Distribution = c.Distribution.Activate(version.signed())
 	version.RolledMillis = atMillis
@@ -267,33 +274,34 @@
 	version.Status = StatusActive
 }
 
-// usable returns a version that is not behind the active one.
-func (c *Catalog) usable(number uint64) (*Version, *Result) {
+// usableVersion returns a version that may be approved or rolled: it exists, is not superseded and has its
+// content.
+func (c *Catalog) usableVersion(number uint64) (*Version, *Result) {
 	version, found := c.Versions[number]
 	if !found {
-		result := c.refuse(CodeUnknownVersion, "version %d does not exist (head is %d)", number, c.Head)
+		result := c.reject(CodeUnknownVersion, "version %d does not exist (head is %d)", number, c.Head)
 		return nil, &result
 	}
 	if version.Status == StatusSuperseded || version.Content == nil {
-		result := c.refuse(CodeSuperseded, "version %d is behind the one in force; to go back, create a new version with the old content", number)
+		result := c.reject(CodeSuperseded, "version %d is behind the one in force; to go back, create a new version with the old content", number)
 		return nil, &result
 	}
 	return version, nil
 }
 
-func (c *Catalog) answer(version *Version) Result {
+func (c *Catalog) resultFor(version *Version) Result {
 	return Result{Version: version.Manifest, Status: version.Status, Revision: c.Distribution.Revision}
 }
 
-func (c *Catalog) refuse(code Code, format string, values ...any) Result {
+func (c *Catalog) reject(code Code, format string, values ...any) Result {
 	return Result{
 		Revision: c.Distribution.Revision,
 		Error:    &OperationError{Code: code, Message: fmt.Sprintf(format, values...)},
 	}
 }
 
-func (c *Catalog) refuseInvalid(err error) Result {
-	result := c.refuse(CodeInvalidBundle, "%v", err)
+func (c *Catalog) rejectInvalid(err error) Result {
+	result := c.reject(CodeInvalidBundle, "%v", err)
 	var invalid *bundle.ValidationError
 	if errors.As(err, &invalid) {
 		result.Error.Problems = invalid.Problems
@@ -301,17 +309,17 @@
 	return result
 }
 
-func (c *Catalog) rememberOperation(id string, done operation) {
-	c.Operations[id] = done
+func (c *Catalog) recordOperation(id string, op operation) {
+	c.Operations[id] = op
 	c.Order = append(c.Order, id)
-	if len(c.Order) > RememberedOperations {
+	if len(c.Order) > MaxStoredResults {
 		delete(c.Operations, c.Order[0])
 		c.Order = c.Order[1:]
 	}
 }
 
-// forgetOldVersions drops contents, and later whole records, of superseded versions.
-func (c *Catalog) forgetOldVersions() {
+// pruneVersions drops the contents of superseded versions, and the records of the oldest.
+func (c *Catalog) pruneVersions() {
 	numbers := slices.Sorted(maps.Keys(c.Versions))
 	items := 0
 	for newer := range numbers {
@@ -323,10 +331,10 @@
 		if old.Status != StatusSuperseded {
 			continue
 		}
-		if newer >= keptContents || (newer >= minKeptContents && items > keptItems) {
+		if newer >= maxKeptContents || (newer >= minKeptContents && items > maxKeptItems) {
 			old.Content = nil
 		}
-		if newer >= keptVersions {
+		if newer >= maxKeptVersions {
 			delete(c.Versions, number)
 		}
 	}
@@ -336,8 +344,9 @@
 	return &bundle.Signed{Manifest: v.Manifest, Approval: v.Approval, Content: *v.Content}
 }
 
-// requestDigest identifies what a command asks for, without when. A bundle's digest
-// stands for its content: a resend may be a delta to another base.
+// requestDigest identifies the request of a command, to compare a resend with the original. It leaves
+// out the time, and of a created bundle it uses the digest instead of the delta, because a resend may
+// carry a delta to another base.
 func requestDigest(command Command) string {
 	command.AtMillis = 0
 	if command.Create != nil {
--- a/pkg/catalog/catalog_test.go
+++ b/pkg/catalog/catalog_test.go
@@ -41,20 +41,20 @@
 	return result.Error.Code
 }
 
-func TestResendGetsTheSameAnswer(t *testing.T) {
+func TestResentOperationReturnsStoredResult(t *testing.T) {
 	is := is.New(t)
 	c := New()
 	first := c.Apply(create(t, "op-1", 0, "x"))
 	is.Equal(first.Version.Version, uint64(1))
 	c.Apply(create(t, "op-2", 1, "y"))
-	again := create(t, "op-1", 0, "x")
-	again.AtMillis = 99 // a resend comes later
-	is.Equal(c.Apply(again), first)
-	is.Equal(c.HeadVersion(), uint64(2)) // and made nothing new
+	resent := create(t, "op-1", 0, "x")
+	resent.AtMillis = 99 // the time of a resend differs
+	is.Equal(c.Apply(resent), first)
+	is.Equal(c.HeadVersion(), uint64(2)) // no version was created
 	is.Equal(code(c.Apply(create(t, "op-1", 2, "z"))), CodeOperationReused)
 }
 
-func TestRacingOperatorsSeeTheWinner(t *testing.T) {
+func TestConflictNamesCurrentHead(t *testing.T) {
 	is := is.New(t)
 	c := New()
 	winner := c.Apply(create(t, "one", 0, "x"))
@@ -64,7 +64,7 @@
 	is.Equal(c.HeadVersion(), uint64(1))
 }
 
-func TestVersionsGoOnlyForward(t *testing.T) {
+func TestSupersededVersionsCannotBeApprovedOrRolled(t *testing.T) {
 	is := is.New(t)
 	c := New()
 	for version := range uint64(3) {
@@ -95,7 +95,7 @@
 	is.Equal(code(c.Apply(Command{})), CodeInvalidRequest)
 }
 
-func TestSnapshotKeepsAnswersAndState(t *testing.T) {
+func TestSnapshotKeepsResultsAndState(t *testing.T) {
 	is := is.New(t)
 	c := New()
 	first := c.Apply(create(t, "op-1", 0, "x"))
@@ -108,32 +108,32 @@
 	is.NoErr(err)
 	is.Equal(restored.Apply(create(t, "op-1", 0, "x")), first)
 	is.Equal(restored.Apply(roll("op-3", 1)), rolled)
-	is.Equal(stateOf(restored), stateOf(c))
+	is.Equal(withoutHasher(restored), withoutHasher(c))
 	_, err = Restore([]byte("{"))
 	is.True(err != nil)
 }
 
-// meshContent is a bundle of many routes; variant changes one of them.
-func meshContent(routes, variant int) bundle.Content {
-	var made bundle.Content
+// contentWithRoutes returns a content with many routes; variant selects the route that has a timeout.
+func contentWithRoutes(routes, variant int) bundle.Content {
+	var content bundle.Content
 	for i := range routes {
 		name := fmt.Sprintf("route-%04d", i)
-		made.Services = append(made.Services, bundle.Service{Name: name})
-		made.Routes = append(made.Routes, bundle.Route{Name: name, PathPrefix: "/" + name, Service: name})
+		content.Services = append(content.Services, bundle.Service{Name: name})
+		content.Routes = append(content.Routes, bundle.Route{Name: name, PathPrefix: "/" + name, Service: name})
 	}
-	made.Routes[variant%routes].Timeout = bundle.Duration(variant + 1)
-	return made.Normalized()
+	content.Routes[variant%routes].Timeout = bundle.Duration(variant + 1)
+	return content.Normalized()
 }
 
-// The log and the snapshot go to every replica and disk; at 410 services a whole bundle
-// is 220 KB, and the snapshot held each kept version whole.
-func TestNearlyEqualBundlesCostNearlyNothing(t *testing.T) {
+// Guards against logs and snapshots that grow by a whole bundle with each version: consecutive
+// bundles must be stored as compressed deltas.
+func TestConsecutiveBundlesAreStoredAsDeltas(t *testing.T) {
 	is := is.New(t)
 	const routes, versions = 400, 30
 	c := New()
 	var first, later int
 	for variant := range versions {
-		content := meshContent(routes, variant)
+		content := contentWithRoutes(routes, variant)
 		tree, err := bundle.NewTree(content)
 		is.NoErr(err)
 		request := c.NewCreate(uint64(variant), content, tree.Root())
@@ -143,7 +143,7 @@
 		is.NoErr(err)
 		if variant == 0 {
 			first = len(document)
-			is.True(len(record) < first/5) // and compressed besides
+			is.True(len(record) < first/5) // the entry is compressed
 		}
 		later = len(document)
 		result := c.Apply(Command{Create: request})
@@ -157,44 +157,44 @@
 	is.NoErr(err)
 	document, err := deflate.UnpackRecord(record, maxRecord)
 	is.NoErr(err)
-	is.True(len(document) < 2*first) // one whole content and the deltas
+	is.True(len(document) < 2*first) // one full content and the deltas
 	is.True(len(record) < len(document)/5)
 	restored, err := Restore(record)
 	is.NoErr(err)
-	is.Equal(stateOf(restored), stateOf(c))
+	is.Equal(withoutHasher(restored), withoutHasher(c))
 }
 
-// stateOf is a catalog without its hasher, which remembers work done, not state.
-func stateOf(c *Catalog) Catalog {
+// withoutHasher returns a copy of a catalog without its hasher, whose cache is not part of the state.
+func withoutHasher(c *Catalog) Catalog {
 	state := *c
 	state.hasher = nil
 	return state
 }
 
-func TestDeltaMustMatchItsDigest(t *testing.T) {
+func TestCreateRejectsWrongDigestAndUnknownBase(t *testing.T) {
 	is := is.New(t)
 	c := New()
 	wrong := create(t, "op", 0, "x")
 	wrong.Create.Digest[0] ^= 1
 	is.Equal(code(c.Apply(wrong)), CodeInvalidBundle)
-	orphan := create(t, "op-2", 0, "x")
-	orphan.Create.Base = 9
-	is.Equal(code(c.Apply(orphan)), CodeUnknownVersion)
+	unknownBase := create(t, "op-2", 0, "x")
+	unknownBase.Create.Base = 9
+	is.Equal(code(c.Apply(unknownBase)), CodeUnknownVersion)
 	is.Equal(c.HeadVersion(), uint64(0))
 }
 
-func TestOldestOperationsAreForgotten(t *testing.T) {
+func TestOldOperationsExpire(t *testing.T) {
 	is := is.New(t)
 	c := New()
 	first := create(t, "first", 0, "x")
 	c.Apply(first)
-	for i := range RememberedOperations {
+	for i := range MaxStoredResults {
 		c.Apply(Command{OperationID: string(rune('a'+i%26)) + string(rune(i)), Roll: &Roll{Version: 1}})
 	}
-	is.Equal(code(c.Apply(first)), CodeConflict) // told as a conflict, never done twice
+	is.Equal(code(c.Apply(first)), CodeConflict) // the resend is rejected, not executed twice
 }
 
-func TestCommandsReadBack(t *testing.T) {
+func TestCommandsRoundTrip(t *testing.T) {
 	is := is.New(t)
 	want := create(t, "op", 4, "x")
 	data, err := want.Encode()
--- a/pkg/catalog/doc.go
+++ b/pkg/catalog/doc.go
@@ -1,9 +1,11 @@
-// Package catalog is the replicated state machine of the control plane: the versions
-// that operators create, approve and roll, and the state that is distributed.
+// Package catalog implements the replicated state machine of the control plane. It holds
+// the bundle versions that operators create, approve and roll (activate), and the state
+// that is distributed to relays and nodes.
 //
-// Commands come from the replicated log in the same order on every replica, so Apply
-// is deterministic: it reads no clock and uses no random numbers. Each operator's
-// command carries an operation ID; a command that was already applied under that ID
-// gets the answer it got the first time, for as long as the ID is remembered
-// (RememberedOperations later operations).
+// Every replica applies the commands of the replicated log in the same order. Apply must
+// therefore be deterministic: it reads no clock and draws no random numbers.
+//
+// Operations are idempotent: a command with the operation ID of an earlier command is not
+// executed again but returns the stored result. Results are kept for the most recent
+// MaxStoredResults operations.
 package catalog
--- a/pkg/catalog/large_test.go
+++ b/pkg/catalog/large_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 )
 
-// largeContent is a bundle with many routes.
+// largeContent returns a content with the given number of routes.
 func largeContent(routes int) bundle.Content {
 	c := bundle.Content{Services: []bundle.Service{{Name: "orders", MaxConnections: 130}, {Name: "media", MaxConnections: 130}}}
 	for i := range routes {
@@ -23,9 +23,9 @@
 	return c.Normalized()
 }
 
-// publications returns the commands of versions that each change one route of many, as a
-// log holds them.
-func publications(tb testing.TB, routes, versions int) []Command {
+// publishCommands returns the commands that publish a number of versions, each of which changes one
+// route.
+func publishCommands(tb testing.TB, routes, versions int) []Command {
 	tb.Helper()
 	c := New()
 	content := largeContent(routes)
@@ -41,29 +41,29 @@
 			source = fmt.Appendf(source, `{"name":%q,"timeout":%d},`, r.Name, r.Timeout)
 		}
 		command := Command{Publish: c.NewPublish(uint64(version-1), uint64(version), content, tree.Root(), source)}
-		if refused := c.Apply(command).Error; refused != nil {
-			tb.Fatal(refused)
+		if opErr := c.Apply(command).Error; opErr != nil {
+			tb.Fatal(opErr)
 		}
 		commands = append(commands, command)
 	}
 	return commands
 }
 
-// BenchmarkReplay applies a log of versions that each change one route of 2300, as a replica
-// does when it starts.
+// BenchmarkReplay applies a log of versions that each change one of 2300 routes, as a starting
+// replica does.
 func BenchmarkReplay(b *testing.B) {
-	commands := publications(b, 2300, 40)
+	commands := publishCommands(b, 2300, 40)
 	b.ResetTimer()
 	for range b.N {
-		applied(b, commands)
+		applyAll(b, commands)
 	}
 	b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N*len(commands)), "µs/version")
 }
 
-// BenchmarkSnapshot saves a catalog of many versions of a large bundle, as a replica does to
-// shorten its log.
+// BenchmarkSnapshot encodes a catalog with many versions of a large bundle, as a replica does to
+// compact its log.
 func BenchmarkSnapshot(b *testing.B) {
-	c := applied(b, publications(b, 2300, 100))
+	c := applyAll(b, publishCommands(b, 2300, 100))
 	for b.Loop() {
 		if _, err := c.Snapshot(); err != nil {
 			b.Fatal(err)
@@ -71,9 +71,9 @@
 	}
 }
 
-// BenchmarkRestore reads it back, as a replica does when it starts.
+// BenchmarkRestore decodes such a snapshot, as a starting replica does.
 func BenchmarkRestore(b *testing.B) {
-	data, err := applied(b, publications(b, 2300, 100)).Snapshot()
+	data, err := applyAll(b, publishCommands(b, 2300, 100)).Snapshot()
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -85,31 +85,31 @@
 	}
 }
 
-// applied returns the catalog that commands make.
-func applied(tb testing.TB, commands []Command) *Catalog {
+// applyAll returns a new catalog after the commands.
+func applyAll(tb testing.TB, commands []Command) *Catalog {
 	tb.Helper()
 	c := New()
 	for _, command := range commands {
-		if refused := c.Apply(command).Error; refused != nil {
-			tb.Fatal(refused)
+		if opErr := c.Apply(command).Error; opErr != nil {
+			tb.Fatal(opErr)
 		}
 	}
 	return c
 }
 
-// Old contents of a large bundle must not fill a replica's memory: those that are kept are bounded
-// by what they hold together, and by their number if they are small.
+// Guards against superseded contents that fill a replica's memory: their total size and their number
+// are bounded.
 func TestKeptContentsAreBoundedBySize(t *testing.T) {
 	is := is.New(t)
-	kept := func(routes, versions int) (count int) {
-		for _, version := range applied(t, publications(t, routes, versions)).Versions {
+	countKept := func(routes, versions int) (count int) {
+		for _, version := range applyAll(t, publishCommands(t, routes, versions)).Versions {
 			if version.Content != nil {
 				count++
 			}
 		}
 		return count
 	}
-	is.Equal(kept(2300, 30), 10) // 10 x 2,302 items
-	is.Equal(kept(6000, 12), minKeptContents)
-	is.Equal(kept(10, 80), keptContents)
+	is.Equal(countKept(2300, 30), 10) // 10 x 2,302 items
+	is.Equal(countKept(6000, 12), minKeptContents)
+	is.Equal(countKept(10, 80), maxKeptContents)
 }
--- a/pkg/catalog/level.go
+++ b/pkg/catalog/level.go
@@ -6,26 +6,27 @@
 	"bramblelift/pkg/bundle"
 )
 
-// Level counts the kinds of log entries that a program knows. A replica passes over an entry of a level
-// above its own, and from then on counts fewer revisions than the others: nodes that come to it from
-// them would miss changes. So a leader proposes nothing above the least level of the members.
+// Level is the compatibility level of log entries, raised whenever a release adds a kind of entry or
+// content. A replica skips entries above its own level, and its revisions then fall behind those of
+// the others, so that nodes that connect to it would miss changes. A leader therefore proposes
+// nothing above the lowest level of the members.
 type Level int
 
 const (
-	// LevelBase is that of versions and endpoints.
+	// LevelBase covers versions and endpoints.
 	LevelBase Level = iota
-	// LevelSuspects adds evidence of requests that end back ends, and verdicts on them.
+	// LevelSuspects adds evidence about requests that crash back ends, and verdicts on them.
 	LevelSuspects
-	// LevelOrders adds orders, and contents with regions, large answers, health paths and cold back ends.
+	// LevelOrders adds orders, and contents with regions, the kind download, health paths and cold back ends.
 	LevelOrders
 	// LevelTenants adds contents with tenants and public routes.
 	LevelTenants
 )
 
-// NewestLevel is what this program knows.
+// NewestLevel is the highest level that this program supports.
 const NewestLevel = LevelTenants
 
-// Level returns the level that a replica must know to apply the command.
+// Level returns the level that a replica must support to apply the command.
 func (c Command) Level() Level {
 	switch {
 	case c.Orders != nil:
@@ -40,13 +41,13 @@
 	return LevelBase
 }
 
-// levelOf returns the level at which a content can be read whole: an earlier program drops the fields that
-// it does not know, and computes another digest.
-func levelOf(content bundle.Content) Level {
+// requiredLevel returns the lowest level that supports all fields of a content. A program of a lower level
+// drops the fields it does not know and computes another digest.
+func requiredLevel(content bundle.Content) Level {
 	if len(content.Tenants) > 0 || slices.ContainsFunc(content.Routes, func(r bundle.Route) bool { return r.Public }) {
 		return LevelTenants
 	}
-	if slices.ContainsFunc(content.Routes, needsOrdersLevel) || slices.ContainsFunc(content.Services, hasHints) {
+	if slices.ContainsFunc(content.Routes, needsOrdersLevel) || slices.ContainsFunc(content.Services, hasOptionalFields) {
 		return LevelOrders
 	}
 	return LevelBase
@@ -56,16 +57,15 @@
 	return len(route.Regions) > 0 || route.Kind == bundle.KindDownload
 }
 
-func hasHints(service bundle.Service) bool {
+func hasOptionalFields(service bundle.Service) bool {
 	return service.HealthPath != "" || service.ColdStart != 0 || service.ColdRate != 0
 }
 
-// WithoutHints returns a content that replicas of a level can read, as far as only hints stand against
-// it: where back ends tell their health, and what they bear while cold. Without these, calls are served as
-// the program of that level serves them. What calls must not be served without, the regions and the kind
-// of a route, is kept, and the content with it above the level.
+// WithoutHints returns the content without those fields above the level that calls can be served without:
+// health paths and the limits of cold back ends. Fields that calls must not be served without, such as
+// a route's regions and kind, are kept, and the result may still require a higher level.
 func WithoutHints(content bundle.Content, level Level) bundle.Content {
-	if level >= LevelOrders || !slices.ContainsFunc(content.Services, hasHints) {
+	if level >= LevelOrders || !slices.ContainsFunc(content.Services, hasOptionalFields) {
 		return content
 	}
 	content.Services = slices.Clone(content.Services)
--- a/pkg/catalog/orders_test.go
+++ b/pkg/catalog/orders_test.go
@@ -12,7 +12,7 @@
 	"github.com/matryer/is"
 )
 
-// An order must outlive the leader that took it, and a restart from a snapshot.
+// Guards against orders that are lost at a change of leader or a restart from a snapshot.
 func TestOrdersSurviveSnapshots(t *testing.T) {
 	is := is.New(t)
 	c := New()
@@ -65,18 +65,18 @@
 	is.Equal(Command{Endpoints: &Endpoints{}}.Level(), LevelBase)
 
 	is.Equal(WithoutHints(hints, LevelSuspects), plain)
-	is.Equal(hints.Services[0].HealthPath, "/healthz") // the content given stays as it is
+	is.Equal(hints.Services[0].HealthPath, "/healthz") // the argument is not modified
 	is.Equal(WithoutHints(hints, LevelOrders), hints)
 	is.Equal(WithoutHints(regions, LevelSuspects), regions) // calls must not be served without them
 }
 
-// A field that was added to contents without a level would be dropped by replicas of an earlier release,
-// which then compute other digests than the rest.
-func TestEveryFieldOfAContentHasALevel(t *testing.T) {
+// Guards against content fields that are added without a level: replicas of an earlier release would drop
+// them and compute other digests.
+func TestEveryContentFieldHasALevel(t *testing.T) {
 	is := is.New(t)
 	base := map[reflect.Type][]string{
 		reflect.TypeFor[bundle.Content](): {"HandBack", "Limits", "Routes", "Services", "Secrets"},
-		// A tenant's fields came with the tenants, which have a level as a whole.
+		// LevelTenants covers all fields of a tenant.
 		reflect.TypeFor[bundle.Tenant](): {"Name", "Keys", "Rate", "Burst", "Priority", "Regions"},
 		reflect.TypeFor[bundle.Limits](): {"MaxHeaderBytes", "MaxBodyBytes", "HeaderTimeout", "IdleTimeout"},
 		reflect.TypeFor[bundle.Route](): {
@@ -88,7 +88,7 @@
 		reflect.TypeFor[bundle.Share]():    {"Service", "Weight"},
 		reflect.TypeFor[bundle.Secret]():   {"Name", "Value"},
 	}
-	// Those that levelOf looks at.
+	// The fields that requiredLevel checks.
 	levelled := map[string]bool{"Route.Regions": true, "Service.HealthPath": true, "Service.ColdStart": true, "Service.ColdRate": true,
 		"Content.Tenants": true, "Route.Public": true}
 	for kind, known := range base {
--- a/pkg/catalog/publish.go
+++ b/pkg/catalog/publish.go
@@ -6,7 +6,8 @@
 	"bramblelift/pkg/bundle"
 )
 
-// NewPublish returns the request that publishes a content with its source document.
+// NewPublish returns the request that publishes a content, made from a source document, as version
+// number. The document is sent as a patch to that of the head.
 func (c *Catalog) NewPublish(expectedHead, number uint64, content bundle.Content, digest bundle.Digest, source []byte) *Publish {
 	return &Publish{
 		Create:       *c.NewCreate(expectedHead, content, digest),
@@ -17,47 +18,47 @@
 	}
 }
 
-// Published reports whether a version was published from just this document. A resend of
-// a request that was carried out is recognised by it for as long as the version is listed.
+// Published reports whether a version was published from the document with this digest. It
+// recognises a resent publication for as long as the record of the version is kept.
 func (c *Catalog) Published(number uint64, sourceDigest bundle.Digest) bool {
 	version, found := c.Versions[number]
 	return found && version.SourceDigest == sourceDigest && sourceDigest != bundle.Digest{}
 }
 
-// CheckPublish refuses what cannot be published on the present head; the order of the
-// checks decides what a request with several faults is told.
+// CheckPublish returns the reason why a version cannot be published on the head, nil if it can. A
+// request with several faults gets the first: a conflict takes precedence.
 func (c *Catalog) CheckPublish(expectedHead, number uint64) *Result {
-	if refusal := c.checkHead(expectedHead); refusal != nil {
-		return refusal
+	if rejection := c.checkHead(expectedHead); rejection != nil {
+		return rejection
 	}
 	if number <= c.Head {
-		refusal := c.refuse(CodeInvalidBundle, "version %d is not above the head, %d", number, c.Head)
-		return &refusal
+		rejection := c.reject(CodeInvalidBundle, "version %d is not above the head, %d", number, c.Head)
+		return &rejection
 	}
 	return nil
 }
 
-// publish is create, approve and roll in one step.
+// publish creates, approves and activates a version in one step. A resend changes nothing.
 func (c *Catalog) publish(request Publish, atMillis int64) Result {
 	if c.Published(request.Version, request.SourceDigest) {
-		return c.answer(c.Versions[request.Version])
+		return c.resultFor(c.Versions[request.Version])
 	}
-	if refusal := c.CheckPublish(request.ExpectedHead, request.Version); refusal != nil {
-		return *refusal
+	if rejection := c.CheckPublish(request.ExpectedHead, request.Version); rejection != nil {
+		return *rejection
 	}
-	content, refusal := c.contentOf(request.Create)
-	if refusal != nil {
-		return *refusal
+	content, rejection := c.resolveContent(request.Create)
+	if rejection != nil {
+		return *rejection
 	}
 	source, err := request.Source.Apply(c.Source)
 	if err != nil || sha256.Sum256(source) != request.SourceDigest {
-		return c.refuse(CodeConflict, "the source document does not match its digest")
+		return c.reject(CodeConflict, "the source document does not match its digest")
 	}
-	version := c.add(request.Version, request.Digest, content, atMillis)
+	version := c.addVersion(request.Version, request.Digest, content, atMillis)
 	version.SourceDigest = request.SourceDigest
 	version.Approval = request.Approval
 	version.ApprovedMillis = atMillis
 	c.Source = source
 	c.activate(version, atMillis)
-	return c.answer(version)
+	return c.resultFor(version)
 }
--- a/pkg/catalog/publish_test.go
+++ b/pkg/catalog/publish_test.go
@@ -9,7 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// publish makes the command that publishes a variant under a number.
+// publish returns the command that publishes a content, with a path that depends on variant, as
+// version number.
 func publish(t *testing.T, c *Catalog, base, number uint64, variant string) Command {
 	t.Helper()
 	content := bundle.Content{
@@ -21,19 +22,19 @@
 	return Command{Publish: c.NewPublish(base, number, content, tree.Root(), fmt.Appendf(nil, `{"v":%d,{"p":%q}`, number, variant))}
 }
 
-func TestPublishedVersionIsInForceUnderItsNumber(t *testing.T) {
+func TestPublishActivatesVersionUnderItsNumber(t *testing.T) {
 	is := is.New(t)
 	c := New()
 	is.Equal(code(c.Apply(publish(t, c, 0, 7, "x"))), Code(""))
 	is.Equal(c.State().Position().Active, uint64(7))
-	is.Equal(code(c.Apply(publish(t, c, 7, 12, "y"))), Code("")) // numbers go up unevenly
+	is.Equal(code(c.Apply(publish(t, c, 7, 12, "y"))), Code("")) // numbers may have gaps
 	is.Equal(c.State().Position().Active, uint64(12))
 	is.Equal(string(c.Source), `{"v":12,{"p":"y"}`)
 }
 
-// A resend of what was taken is acknowledged again, hundreds of versions later, and after a
-// restart; it changes nothing.
-func TestResendOfATakenPublication(t *testing.T) {
+// A resent publication must succeed again and change nothing, even hundreds of versions later and
+// after a restart.
+func TestResentPublicationChangesNothing(t *testing.T) {
 	is := is.New(t)
 	c := New()
 	first := publish(t, c, 0, 1, "first")
@@ -47,12 +48,12 @@
 	is.NoErr(err)
 	restored, err := Restore(data)
 	is.NoErr(err)
-	is.Equal(stateOf(restored), stateOf(c))
+	is.Equal(withoutHasher(restored), withoutHasher(c))
 	is.True(restored.Published(1, first.Publish.SourceDigest))
 	is.Equal(code(restored.Apply(first)), Code(""))
 }
 
-func TestOfTwoOnOneBaseExactlyOneWins(t *testing.T) {
+func TestOnlyOneOfTwoPublicationsOnOneBaseSucceeds(t *testing.T) {
 	is := is.New(t)
 	c := New()
 	c.Apply(publish(t, c, 0, 1, "x"))
@@ -63,15 +64,15 @@
 	is.Equal(string(c.Source), `{"v":2,{"p":"one"}`)
 }
 
-func TestPublicationThatCannotBe(t *testing.T) {
+func TestPublishRejectsInvalidRequests(t *testing.T) {
 	is := is.New(t)
 	c := New()
 	c.Apply(publish(t, c, 0, 5, "x"))
 	is.Equal(code(c.Apply(publish(t, c, 5, 5, "again"))), CodeInvalidBundle) // not above the head
 	is.Equal(code(c.Apply(publish(t, c, 4, 9, "stale"))), CodeConflict)
-	spoilt := publish(t, c, 5, 9, "y")
-	spoilt.Publish.SourceDigest[0] ^= 1
-	is.Equal(code(c.Apply(spoilt)), CodeConflict)
+	wrongDigest := publish(t, c, 5, 9, "y")
+	wrongDigest.Publish.SourceDigest[0] ^= 1
+	is.Equal(code(c.Apply(wrongDigest)), CodeConflict)
 	invalid := publish(t, c, 5, 9, "y")
 	invalid.Publish.Delta.RemovedServices = []string{"s"}
 	is.Equal(code(c.Apply(invalid)), CodeInvalidBundle)
--- a/pkg/catalog/snapshot.go
+++ b/pkg/catalog/snapshot.go
@@ -13,9 +13,9 @@
 	"bramblelift/pkg/quarantine"
 )
 
-// savedCatalog is the form of a catalog in a snapshot. Consecutive bundles are nearly
-// equal, so each content is saved once and as a delta to the one before it; everything
-// else refers to contents by version.
+// savedCatalog is the snapshot format of a catalog. Consecutive bundles differ little, so each
+// content is stored once, as a delta to the previous one. Everything else refers to contents by
+// version number.
 type savedCatalog struct {
 	Head       uint64               `json:"head"`
 	Contents   []savedContent       `json:"contents"`
@@ -36,7 +36,7 @@
 	HasContent bool `json:"has_content,omitempty"`
 }
 
-// savedBundle is a bundle whose content stands elsewhere.
+// savedBundle is a bundle without its content, which is in savedCatalog.Contents.
 type savedBundle struct {
 	Manifest bundle.Manifest `json:"manifest"`
 	Approval bundle.Approval `json:"approval"`
@@ -54,7 +54,7 @@
 	Orders    *orders.Table              `json:"orders,omitempty"`
 }
 
-// Snapshot returns the whole catalog as data for Restore.
+// Snapshot encodes the catalog for Restore.
 func (c *Catalog) Snapshot() ([]byte, error) {
 	saved := savedCatalog{Head: c.Head, Operations: c.Operations, Order: c.Order, Source: c.Source, State: saveState(c.Distribution)}
 	for _, number := range slices.Sorted(maps.Keys(c.Versions)) {
@@ -71,7 +71,8 @@
 	return deflate.PackRecord(data)
 }
 
-// allContents returns every content held anywhere, by version.
+// allContents returns the contents of the kept versions and of the distributed bundles, by version
+// number.
 func (c *Catalog) allContents() map[uint64]*bundle.Content {
 	all := map[uint64]*bundle.Content{}
 	for number, version := range c.Versions {
@@ -97,10 +98,10 @@
 
 func saveContents(all map[uint64]*bundle.Content) []savedContent {
 	var saved []savedContent
-	before := &bundle.Content{}
+	previous := &bundle.Content{}
 	for _, number := range slices.Sorted(maps.Keys(all)) {
-		saved = append(saved, savedContent{Version: number, Delta: bundle.Diff(*before, *all[number])})
-		before = all[number]
+		saved = append(saved, savedContent{Version: number, Delta: bundle.Diff(*previous, *all[number])})
+		previous = all[number]
 	}
 	return saved
 }
@@ -124,7 +125,7 @@
 	return &savedBundle{Manifest: signed.Manifest, Approval: signed.Approval}
 }
 
-// Restore returns the catalog of a snapshot; empty data gives an empty catalog.
+// Restore decodes the catalog of a snapshot. Without data it returns an empty catalog.
 func Restore(record []byte) (*Catalog, error) {
 	c := New()
 	if len(record) == 0 {
@@ -146,10 +147,10 @@
 
 func (c *Catalog) load(saved savedCatalog) error {
 	contents := map[uint64]*bundle.Content{}
-	before := bundle.Content{}
+	previous := bundle.Content{}
 	for _, next := range saved.Contents {
-		before = before.Apply(next.Delta)
-		content := before
+		previous = previous.Apply(next.Delta)
+		content := previous
 		contents[next.Version] = &content
 	}
 	c.Head, c.Order, c.Source = saved.Head, saved.Order, saved.Source
--- a/pkg/catalog/suspects_test.go
+++ b/pkg/catalog/suspects_test.go
@@ -8,14 +8,14 @@
 	"github.com/matryer/is"
 )
 
-// A quarantine must outlive the leader that imposed it, and a restart from a snapshot: back ends
-// would end again.
+// Guards against quarantines that are lost at a change of leader or a restart from a snapshot: the
+// requests would crash back ends again.
 func TestQuarantineSurvivesSnapshots(t *testing.T) {
 	is := is.New(t)
 	c := New()
 	for _, instance := range []string{"i1", "i2", "i3"} {
-		end := quarantine.End{Request: "r", Instance: instance, Way: quarantine.Way{Caller: "shop", Service: "orders"}}
-		command := Command{Suspects: &quarantine.Change{Evidence: quarantine.Evidence{Ends: []quarantine.End{end}}}}
+		crash := quarantine.End{Request: "r", Instance: instance, Way: quarantine.Way{Caller: "shop", Service: "orders"}}
+		command := Command{Suspects: &quarantine.Change{Evidence: quarantine.Evidence{Ends: []quarantine.End{crash}}}}
 		encoded, err := command.Encode()
 		is.NoErr(err)
 		decoded, err := DecodeCommand(encoded)
