--- a/pkg/distribution/distribution_test.go
+++ b/pkg/distribution/distribution_test.go
@@ -13,19 +13,19 @@
 	"pgregory.net/rapid"
 )
 
-// anyApproval accepts every approval; approvals have tests of their own.
-type anyApproval struct{}
+// acceptAllApprovals accepts every approval.
+type acceptAllApprovals struct{}
 
-func (anyApproval) Verify(bundle.Manifest, bundle.Approval) error { return nil }
+func (acceptAllApprovals) Verify(bundle.Manifest, bundle.Approval) error { return nil }
 
-type noApproval struct{}
+type rejectAllApprovals struct{}
 
-func (noApproval) Verify(bundle.Manifest, bundle.Approval) error { return bundle.ErrApproval }
+func (rejectAllApprovals) Verify(bundle.Manifest, bundle.Approval) error { return bundle.ErrApproval }
 
 var testGroups = []string{"shop", "store", "none", bundle.ScopeAll}
 
-// signed makes a bundle whose first route's timeout and whose set of routes vary.
-func signed(version uint64, variant int) *bundle.Signed {
+// newBundle returns a bundle whose routes, secret and concurrency limit depend on variant.
+func newBundle(version uint64, variant int) *bundle.Signed {
 	content := bundle.Content{
 		Services: []bundle.Service{{Name: "orders"}, {Name: "prices", MaxConcurrency: variant}},
 		Secrets:  []bundle.Secret{{Name: "token", Value: fmt.Sprintf("t%d", variant%3)}},
@@ -48,26 +48,26 @@
 	return &bundle.Signed{Manifest: bundle.Manifest{Version: version, Digest: tree.Root()}, Content: content}
 }
 
-func endpoint(service string, number int, incarnation uint64, state EndpointState) Endpoint {
+func newEndpoint(service string, number int, incarnation uint64, state EndpointState) Endpoint {
 	return Endpoint{
 		Service: service, ID: fmt.Sprintf("%s-%d", service, number), Incarnation: incarnation,
 		Address: fmt.Sprintf("10.0.0.%d:80", number), State: state,
 	}
 }
 
-// TestHoldersReachTheState: from whatever earlier state a holder starts, however many
-// changes pass it by, one update brings it to just what its group needs.
-func TestHoldersReachTheState(t *testing.T) {
+// Guards against updates that skip changes: one update must bring a holder from any earlier state to
+// exactly the state that its group needs.
+func TestHoldersConvergeToNewestState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state := &State{}
 		version := uint64(0)
 		planner := NewPlanner(state)
 		holders := map[string]*Holder{}
 		for _, group := range testGroups {
-			holders[group] = NewHolder(group, anyApproval{}, nil)
+			holders[group] = NewHolder(group, acceptAllApprovals{}, nil)
 		}
 		for range rapid.IntRange(1, 25).Draw(t, "steps") {
-			state, version = changeState(t, state, version)
+			state, version = applyRandomChange(t, state, version)
 			planner.SetState(state)
 			for _, group := range testGroups {
 				if rapid.IntRange(0, 2).Draw(t, "catches up") == 0 {
@@ -82,7 +82,7 @@
 	})
 }
 
-func changeState(t *rapid.T, state *State, version uint64) (*State, uint64) {
+func applyRandomChange(t *rapid.T, state *State, version uint64) (*State, uint64) {
 	switch rapid.IntRange(0, 4).Draw(t, "change") {
 	case 4:
 		zone := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone")
@@ -92,14 +92,14 @@
 		return state.ChangeOrders(orders.Change{Readmit: zone}), version
 	case 0:
 		version++
-		return state.Stage(signed(version, rapid.IntRange(0, 9).Draw(t, "variant"))), version
+		return state.Stage(newBundle(version, rapid.IntRange(0, 9).Draw(t, "variant"))), version
 	case 1:
 		if state.Staged != nil {
 			return state.Activate(state.Staged), version
 		}
 		return state, version
 	default:
-		change := endpoint(rapid.SampledFrom([]string{"orders", "prices", "other"}).Draw(t, "service"),
+		change := newEndpoint(rapid.SampledFrom([]string{"orders", "prices", "other"}).Draw(t, "service"),
 			rapid.IntRange(1, 4).Draw(t, "number"), uint64(rapid.IntRange(1, 3).Draw(t, "incarnation")),
 			EndpointState(rapid.IntRange(0, 2).Draw(t, "state")))
 		return state.ChangeEndpoints([]Endpoint{change}), version
@@ -126,42 +126,43 @@
 	}
 	for _, zone := range []string{"a", "b"} {
 		if held.Orders.Evacuated(zone) != state.Orders.Evacuated(zone) {
-			t.Fatalf("%s takes zone %s for evacuated=%t", group, zone, held.Orders.Evacuated(zone))
+			t.Fatalf("%s holds zone %s with evacuated=%t", group, zone, held.Orders.Evacuated(zone))
 		}
 	}
 	if held.Active != nil && held.Active.Content.Consistent() != nil {
-		t.Fatalf("%s holds a dangling route", group)
+		t.Fatalf("%s holds a route with a missing reference", group)
 	}
 	needed := neededServices(contentOf(held.Active), contentOf(held.Staged))
 	if group == bundle.ScopeAll {
 		needed = nil
 	}
 	if held.Endpoints.digest(nil) != state.Endpoints.digest(needed) {
-		t.Fatalf("%s holds other endpoints than it needs", group)
+		t.Fatalf("%s does not hold the endpoints that it needs", group)
 	}
 }
 
-// activeHolder returns a planner and a holder of the shop that has version 1.
-func activeHolder(t *testing.T) (*State, *Planner, *Holder) {
+// newHolderWithBundle returns a state with version 1 active, its planner, and a holder of the group shop that
+// has applied it.
+func newHolderWithBundle(t *testing.T) (*State, *Planner, *Holder) {
 	t.Helper()
-	state := (&State{}).Activate(signed(1, 1)).ChangeEndpoints([]Endpoint{endpoint("orders", 1, 1, Live)})
+	state := (&State{}).Activate(newBundle(1, 1)).ChangeEndpoints([]Endpoint{newEndpoint("orders", 1, 1, Live)})
 	planner := NewPlanner(state)
-	holder := NewHolder("shop", anyApproval{}, nil)
+	holder := NewHolder("shop", acceptAllApprovals{}, nil)
 	update, err := planner.Plan("shop", Position{})
 	is.New(t).NoErr(err)
 	is.New(t).NoErr(holder.Apply(update))
 	return state, planner, holder
 }
 
-func TestBadUpdatesLeaveTheStateWhole(t *testing.T) {
+func TestInvalidUpdateLeavesStateUnchanged(t *testing.T) {
 	for name, test := range map[string]struct {
-		spoil func(*Update)
-		want  error
+		corrupt func(*Update)
+		want    error
 	}{
-		"gap":             {func(u *Update) { u.From += 10; u.To += 10 }, ErrGap},
+		"gap":             {func(u *Update) { u.From += 10; u.To += 10 }, ErrRevisionGap},
 		"older version":   {func(u *Update) { u.Active = 0 }, ErrOlder},
-		"missing bundle":  {func(u *Update) { u.Bundles = nil }, ErrIncomplete},
-		"unknown base":    {func(u *Update) { u.Bundles[0].Base = 77 }, ErrIncomplete},
+		"missing bundle":  {func(u *Update) { u.Bundles = nil }, ErrMissingBundle},
+		"unknown base":    {func(u *Update) { u.Bundles[0].Base = 77 }, ErrMissingBundle},
 		"changed content": {func(u *Update) { u.Bundles[0].Delta.HandBack = true }, bundle.ErrDigest},
 		"missing secret": {func(u *Update) {
 			u.Bundles[0].Delta.Secrets, u.Bundles[0].Delta.RemovedSecrets = nil, []string{"token"}
@@ -172,70 +173,70 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			state, planner, holder := activeHolder(t)
+			state, planner, holder := newHolderWithBundle(t)
 			before := holder.State()
-			planner.SetState(state.Activate(signed(2, 2)).ChangeEndpoints([]Endpoint{endpoint("orders", 2, 1, Live)}))
+			planner.SetState(state.Activate(newBundle(2, 2)).ChangeEndpoints([]Endpoint{newEndpoint("orders", 2, 1, Live)}))
 			update, err := planner.Plan("shop", before.Position())
 			is.NoErr(err)
-			test.spoil(update)
+			test.corrupt(update)
 			is.True(errors.Is(holder.Apply(update), test.want))
-			is.Equal(holder.State(), before) // nothing was applied in part
+			is.Equal(holder.State(), before) // nothing was applied partially
 		})
 	}
 }
 
-func TestUnapprovedBundleIsRefused(t *testing.T) {
+func TestUnapprovedBundleIsRejected(t *testing.T) {
 	is := is.New(t)
-	planner := NewPlanner((&State{}).Activate(signed(1, 1)))
+	planner := NewPlanner((&State{}).Activate(newBundle(1, 1)))
 	update, err := planner.Plan("shop", Position{})
 	is.NoErr(err)
-	holder := NewHolder("shop", noApproval{}, nil)
+	holder := NewHolder("shop", rejectAllApprovals{}, nil)
 	is.True(errors.Is(holder.Apply(update), bundle.ErrApproval))
 	is.Equal(holder.State().Position(), Position{})
 }
 
-func TestLateUpdatesChangeNothing(t *testing.T) {
+func TestOutdatedUpdatesChangeNothing(t *testing.T) {
 	is := is.New(t)
-	state, planner, holder := activeHolder(t)
+	state, planner, holder := newHolderWithBundle(t)
 	first, err := planner.Plan("shop", Position{})
 	is.NoErr(err)
-	planner.SetState(state.Activate(signed(2, 2)))
+	planner.SetState(state.Activate(newBundle(2, 2)))
 	second, err := planner.Plan("shop", holder.State().Position())
 	is.NoErr(err)
 	is.NoErr(holder.Apply(second))
-	is.NoErr(holder.Apply(first)) // crossed on the way
+	is.NoErr(holder.Apply(first)) // delivered out of order
 	is.NoErr(holder.Apply(second))
 	is.Equal(holder.State().Position().Active, uint64(2))
 }
 
-func TestNodesAreNotToldOfWhatTheyDoNotNeed(t *testing.T) {
+func TestNodesGetNoUpdatesOutsideTheirScope(t *testing.T) {
 	is := is.New(t)
-	state, planner, holder := activeHolder(t)
+	state, planner, holder := newHolderWithBundle(t)
 	position := holder.State().Position()
-	planner.SetState(state.ChangeEndpoints([]Endpoint{endpoint("other", 1, 1, Live)}))
+	planner.SetState(state.ChangeEndpoints([]Endpoint{newEndpoint("other", 1, 1, Live)}))
 	update, err := planner.Plan("shop", position)
 	is.NoErr(err)
-	is.True(!update.Changes(position)) // nothing goes over the wire
+	is.True(!update.Changes(position)) // nothing is sent
 }
 
-func TestEndpointsComeBackOnlyInANewLife(t *testing.T) {
+func TestEndpointReturnsOnlyWithHigherIncarnation(t *testing.T) {
 	is := is.New(t)
-	state := (&State{}).ChangeEndpoints([]Endpoint{endpoint("a", 1, 3, Live)})
-	state = state.ChangeEndpoints([]Endpoint{endpoint("a", 1, 3, Leaving)})
-	for _, late := range []Endpoint{endpoint("a", 1, 3, Live), endpoint("a", 1, 2, Live), endpoint("a", 1, 3, Leaving)} {
-		is.Equal(state.ChangeEndpoints([]Endpoint{late}), state) // a list that lags changes nothing
+	state := (&State{}).ChangeEndpoints([]Endpoint{newEndpoint("a", 1, 3, Live)})
+	state = state.ChangeEndpoints([]Endpoint{newEndpoint("a", 1, 3, Leaving)})
+	for _, outdated := range []Endpoint{newEndpoint("a", 1, 3, Live), newEndpoint("a", 1, 2, Live), newEndpoint("a", 1, 3, Leaving)} {
+		is.Equal(state.ChangeEndpoints([]Endpoint{outdated}), state) // an outdated list changes nothing
 	}
-	back := state.ChangeEndpoints([]Endpoint{endpoint("a", 1, 4, Live)})
-	is.Equal(back.Endpoints["a"]["a-1"].State, Live)
+	revived := state.ChangeEndpoints([]Endpoint{newEndpoint("a", 1, 4, Live)})
+	is.Equal(revived.Endpoints["a"]["a-1"].State, Live)
 }
 
-func TestForgottenTombstonesForceAReset(t *testing.T) {
+func TestDroppedTombstonesForceReset(t *testing.T) {
 	is := is.New(t)
 	state := &State{}
 	var added, removed []Endpoint
 	for number := range maxTombstones + 2 {
-		added = append(added, endpoint("a", number, 1, Live))
-		removed = append(removed, endpoint("a", number, 1, Removed))
+		added = append(added, newEndpoint("a", number, 1, Live))
+		removed = append(removed, newEndpoint("a", number, 1, Removed))
 	}
 	state = state.ChangeEndpoints(added)
 	early := state.Position()
--- a/pkg/distribution/doc.go
+++ b/pkg/distribution/doc.go
@@ -1,26 +1,29 @@
-// Package distribution holds the decision logic of configuration distribution, with
-// no I/O: the state that is distributed, the update that brings a holder from where
-// it is to the newest state, and the holder's checks before it puts one in force.
+// Package distribution implements the logic of configuration distribution without any
+// I/O: the state that is distributed, the update that brings a holder to the newest
+// state, and the checks that a holder makes before it applies an update.
 //
-// # One revision stream
+// A holder is a process that keeps a copy of the state: a relay or a node.
 //
-// Every change that holders may see (a bundle staged, a bundle activated, endpoints
-// changed) gets the next revision of one stream. A State is a function of its
-// revision; holders only ever go forward. The same State type serves at every level:
-// control replicas and relays hold the scope bundle.ScopeAll, a node the scope of its
-// group.
+// # Revisions
 //
-// # Updates from stamps
+// Every change that holders can see (a staged bundle, an activated bundle, changed
+// endpoints, orders or suspects) increments the revision of the state. The revision
+// determines the state, and the revision of a holder never decreases. All processes use
+// the same State type: control replicas and relays hold the scope bundle.ScopeAll, a node
+// holds the scope of its group.
 //
-// Each endpoint carries the revision that last modified it, and removed ones stay as
-// tombstones down to State.Horizon. The update for a holder at revision r is whatever
-// in its scope is newer than r. A slow holder thus gets the newest state, not a queue,
-// and a holder whose scope did not change gets nothing. Below the horizon the update
-// is a reset: the whole scope.
+// # Incremental updates
+//
+// Each endpoint records the revision that last modified it. Removed endpoints are kept
+// as tombstones, except those last modified at or before State.Horizon. The update for a
+// holder at revision r contains everything in its scope that was modified after r. A slow
+// holder therefore gets the newest state in one update instead of a queue of changes, and
+// a holder whose scope did not change gets no update. A holder whose revision is below the
+// horizon gets a reset: the complete state of its scope.
 //
 // # Invariants
 //
-//   - A State is immutable; each change returns a new one.
-//   - Holder.Apply either returns a whole, checked state or leaves the old one.
-//   - Revision and active version of a holder never decrease.
+//   - A State is immutable. Each change returns a new State.
+//   - Holder.Apply either installs a complete, verified state or keeps the old one.
+//   - The revision and the active version of a holder never decrease.
 package distribution
--- a/pkg/distribution/endpoint.go
+++ b/pkg/distribution/endpoint.go
@@ -6,15 +6,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// EndpointState is where an endpoint is in its life. States only grow.
+// EndpointState is the lifecycle state of an endpoint. Within one incarnation it never decreases.
 type EndpointState uint8
 
 const (
-	// Live endpoints take new calls.
+	// Live endpoints accept new calls.
 	Live EndpointState = iota
-	// Leaving endpoints finish what they have and take nothing new.
+	// Leaving endpoints drain: they finish the calls in flight and accept no new ones.
 	Leaving
-	// Removed endpoints are gone; the entry is a tombstone.
+	// Removed endpoints no longer exist. The entry is a tombstone.
 	Removed
 )
 
@@ -30,30 +30,30 @@
 	}
 }
 
-// Endpoint is one back end as the platform lists it.
+// Endpoint is one back end of a service, as listed by the platform or announced by a node.
 type Endpoint struct {
 	Service string `json:"service"`
 	ID      string `json:"id"`
-	// Incarnation grows each time the machine behind ID is replaced or restarted;
-	// there is no way back from Leaving or Removed without a higher one.
+	// Incarnation increases each time the machine with this ID is replaced or restarted. An
+	// endpoint that is Leaving or Removed becomes Live again only with a higher incarnation.
 	Incarnation uint64 `json:"incarnation"`
 	Address     string `json:"address"`
 	Zone        string `json:"zone,omitempty"`
-	// Gate is where the node beside the back end takes its calls; empty if callers' nodes
-	// connect to the back end itself.
+	// Gate is the address of the gate in front of the back end, empty if callers' nodes
+	// connect to the back end directly.
 	Gate string `json:"gate,omitempty"`
-	// Capacity is how many calls the back end works on at once, zero if unknown.
+	// Capacity is the number of calls that the back end runs concurrently, zero if unknown.
 	Capacity int           `json:"capacity,omitempty"`
 	State    EndpointState `json:"state"`
-	// Version is that of the back end's software, empty if unknown. It never changes within an
-	// incarnation.
+	// Version is the version of the back end's software, empty if unknown. It is constant within
+	// an incarnation.
 	Version string `json:"version,omitempty"`
-	// Modified is the revision of the last change; zero on nodes, which do not
-	// need it.
+	// Modified is the revision of the last change, zero on nodes, which do not use it.
 	Modified uint64 `json:"modified,omitempty"`
 }
 
-// Supersedes reports whether e is news to someone who holds old.
+// Supersedes reports whether e replaces old: it has a higher incarnation, or the same incarnation and a
+// later state.
 func (e Endpoint) Supersedes(old Endpoint) bool {
 	if e.Incarnation != old.Incarnation {
 		return e.Incarnation > old.Incarnation
@@ -61,7 +61,7 @@
 	return e.State > old.State
 }
 
-// hash sums everything a holder acts on.
+// hash returns a hash of the fields that holders use.
 func (e Endpoint) hash() uint64 {
 	var buffer []byte
 	for _, text := range []string{e.Service, e.ID, e.Address, e.Zone, e.Gate} {
@@ -74,15 +74,15 @@
 	return xxhash.Sum64(buffer)
 }
 
-// EndpointTable holds endpoints by service and ID.
+// EndpointTable holds endpoints by service and by ID.
 type EndpointTable map[string]map[string]Endpoint
 
-// with returns a copy that holds the given endpoints; untouched services are shared.
-// Removed endpoints stay as tombstones only if keepTombstones is set.
-func (t EndpointTable) with(endpoints []Endpoint, keepTombstones bool) EndpointTable {
+// withChanges returns a copy with the given endpoints added or replaced; the maps of unchanged
+// services are shared. Removed endpoints are kept as tombstones only if keepTombstones is set.
+func (t EndpointTable) withChanges(endpoints []Endpoint, keepTombstones bool) EndpointTable {
 	next := make(EndpointTable, len(t)+1)
-	for service, held := range t {
-		next[service] = held
+	for service, byID := range t {
+		next[service] = byID
 	}
 	copied := map[string]bool{}
 	for _, endpoint := range endpoints {
@@ -99,26 +99,26 @@
 	return next
 }
 
-// only returns a copy restricted to the named services.
-func (t EndpointTable) only(services map[string]bool) EndpointTable {
+// restrictedTo returns a copy that has the named services only.
+func (t EndpointTable) restrictedTo(services map[string]bool) EndpointTable {
 	next := make(EndpointTable, len(services))
-	for service, held := range t {
+	for service, byID := range t {
 		if services[service] {
-			next[service] = held
+			next[service] = byID
 		}
 	}
 	return next
 }
 
-// digest sums the endpoints of the named services, or all with nil. Addition makes
-// the sum independent of the order; tombstones do not count.
+// digest returns the sum of the hashes of the named services' endpoints, or of all endpoints if
+// services is nil. A sum does not depend on the order. Tombstones are left out.
 func (t EndpointTable) digest(services map[string]bool) uint64 {
 	var sum uint64
-	for service, held := range t {
+	for service, byID := range t {
 		if services != nil && !services[service] {
 			continue
 		}
-		for _, endpoint := range held {
+		for _, endpoint := range byID {
 			if endpoint.State != Removed {
 				sum += endpoint.hash()
 			}
@@ -127,33 +127,33 @@
 	return sum
 }
 
-func cloneEndpoints(held map[string]Endpoint) map[string]Endpoint {
-	clone := make(map[string]Endpoint, len(held)+1)
-	for id, endpoint := range held {
+func cloneEndpoints(byID map[string]Endpoint) map[string]Endpoint {
+	clone := make(map[string]Endpoint, len(byID)+1)
+	for id, endpoint := range byID {
 		clone[id] = endpoint
 	}
 	return clone
 }
 
-// News returns what the announcements of back ends bring to the table. A back end that is
-// announced at a gate takes the place of every other one there: a node has one back end
-// beside it, and one that crashed does not say so.
+// News returns the changes that announced endpoints make to the table. Because a gate has one back
+// end, and a crashed one cannot announce its removal, a live endpoint removes all others at its gate.
 func (t EndpointTable) News(announced []Endpoint) []Endpoint {
-	var news []Endpoint
+	var changes []Endpoint
 	for _, endpoint := range announced {
-		held, found := t[endpoint.Service][endpoint.ID]
-		if (!found && endpoint.State != Removed) || (found && endpoint.Supersedes(held)) {
-			news = append(news, endpoint)
+		current, found := t[endpoint.Service][endpoint.ID]
+		if (!found && endpoint.State != Removed) || (found && endpoint.Supersedes(current)) {
+			changes = append(changes, endpoint)
 		}
 		if endpoint.Gate != "" && endpoint.State == Live {
-			news = append(news, t.replacedAt(endpoint)...)
+			changes = append(changes, t.replacedAtGate(endpoint)...)
 		}
 	}
-	return news
+	return changes
 }
 
-// replacedAt returns the other back ends at an endpoint's gate, as removed.
-func (t EndpointTable) replacedAt(endpoint Endpoint) []Endpoint {
+// replacedAtGate returns the other endpoints at the endpoint's gate, in the state Removed. It returns none
+// if the table lists the endpoint itself as no longer live.
+func (t EndpointTable) replacedAtGate(endpoint Endpoint) []Endpoint {
 	if held, found := t[endpoint.Service][endpoint.ID]; found && held.State != Live {
 		return nil
 	}
--- a/pkg/distribution/holder.go
+++ b/pkg/distribution/holder.go
@@ -7,27 +7,26 @@
 	"bramblelift/pkg/bundle"
 )
 
-// Errors of Holder.Apply. Each leaves the held state whole.
+// Errors of Holder.Apply, which leaves the held state unchanged.
 var (
-	// ErrGap: the update starts after what is held; subscribe again.
-	ErrGap = errors.New("update does not connect to the held revision")
-	// ErrOlder: the update would bring the holder back.
-	ErrOlder = errors.New("update is older than what is held")
-	// ErrIncomplete: the update names a bundle that it neither brings nor is held.
-	ErrIncomplete = errors.New("update names a bundle that is not held")
-	// ErrEndpointDigest: the endpoints do not add up.
+	// ErrRevisionGap: the update starts after the held revision. The holder must subscribe again.
+	ErrRevisionGap = errors.New("update starts after the held revision")
+	// ErrOlder: the active version of the update is older than the held one.
+	ErrOlder = errors.New("active version of the update is older than the held one")
+	// ErrMissingBundle: the update refers to a bundle that is neither in the update nor held.
+	ErrMissingBundle = errors.New("update refers to a missing bundle")
+	// ErrEndpointDigest: the endpoints after the update do not have the expected digest.
 	ErrEndpointDigest = errors.New("endpoints do not match their digest")
-	// ErrScope: the content is for another node group.
+	// ErrScope: the content belongs to the scope of another node group.
 	ErrScope = errors.New("content is for another node group")
 )
 
-// ApprovalVerifier checks that a manifest was approved.
+// ApprovalVerifier checks the approval of a manifest. bundle.Verifier implements it.
 type ApprovalVerifier interface {
 	Verify(bundle.Manifest, bundle.Approval) error
 }
 
-// Holder takes updates for one scope and keeps the newest whole state. It is not safe
-// for concurrent use.
+// Holder applies updates to the state of one scope. It is not safe for concurrent use.
 type Holder struct {
 	group    string
 	verifier ApprovalVerifier
@@ -35,7 +34,8 @@
 	hasher   *bundle.Hasher
 }
 
-// NewHolder returns a holder that starts from a state, empty for a first start.
+// NewHolder returns a holder for a node group, or for bundle.ScopeAll. It starts with the given state,
+// or with an empty one if state is nil.
 func NewHolder(group string, verifier ApprovalVerifier, state *State) *Holder {
 	if state == nil {
 		state = &State{}
@@ -43,10 +43,11 @@
 	return &Holder{group: group, verifier: verifier, state: state, hasher: bundle.NewHasher()}
 }
 
-// State returns the held state.
+// State returns the held state, which is never nil.
 func (h *Holder) State() *State { return h.state }
 
-// Current takes in that nothing in the holder's scope changed up to a revision.
+// Current advances the held revision; nothing in the holder's scope changed up to it. A lower revision
+// is ignored.
 func (h *Holder) Current(revision uint64) {
 	if revision <= h.state.Revision {
 		return
@@ -56,19 +57,19 @@
 	h.state = &next
 }
 
-// Apply checks an update whole and puts it in force. On an error nothing changed. An
-// update that brings nothing new is no error.
+// Apply verifies an update and installs the resulting state. On an error the held state stays
+// unchanged. An update that is not newer than the held revision is ignored.
 func (h *Holder) Apply(u *Update) error {
 	if u.To <= h.state.Revision {
 		return nil
 	}
 	if u.From > h.state.Revision {
-		return fmt.Errorf("update from %d to %d, held %d: %w", u.From, u.To, h.state.Revision, ErrGap)
+		return fmt.Errorf("update from %d to %d, held %d: %w", u.From, u.To, h.state.Revision, ErrRevisionGap)
 	}
 	if u.Active < versionOf(h.state.Active) {
 		return fmt.Errorf("update to version %d, held %d: %w", u.Active, versionOf(h.state.Active), ErrOlder)
 	}
-	next, err := h.build(u)
+	next, err := h.buildState(u)
 	if err != nil {
 		return fmt.Errorf("update to revision %d: %w", u.To, err)
 	}
@@ -76,17 +77,17 @@
 	return nil
 }
 
-// build makes the state after the update and checks it.
-func (h *Holder) build(u *Update) (*State, error) {
-	bundles, err := h.takeBundles(u)
+// buildState returns the verified state after the update.
+func (h *Holder) buildState(u *Update) (*State, error) {
+	bundles, err := h.collectBundles(u)
 	if err != nil {
 		return nil, err
 	}
 	next := &State{Revision: u.To, Recent: h.state.Recent, Horizon: u.Horizon}
-	if next.Active, err = pick(bundles, u.Active); err != nil {
+	if next.Active, err = findBundle(bundles, u.Active); err != nil {
 		return nil, err
 	}
-	if next.Staged, err = pick(bundles, u.Staged); err != nil {
+	if next.Staged, err = findBundle(bundles, u.Staged); err != nil {
 		return nil, err
 	}
 	if next.Active != nil {
@@ -102,92 +103,92 @@
 	if u.Orders != nil {
 		next.Orders = u.Orders
 	}
-	h.takeEndpoints(next, u)
+	h.applyEndpoints(next, u)
 	if digest := next.Endpoints.digest(nil); digest != u.EndpointDigest {
 		return nil, fmt.Errorf("digest %x, expected %x: %w", digest, u.EndpointDigest, ErrEndpointDigest)
 	}
 	if h.group == bundle.ScopeAll {
-		h.rememberBundles(next)
+		h.keepReplacedBundles(next)
 	}
 	return next, nil
 }
 
-// takeBundles returns the bundles held and brought, by version.
-func (h *Holder) takeBundles(u *Update) (map[uint64]*bundle.Signed, error) {
+// collectBundles returns the held bundles and the verified bundles of the update, by version.
+func (h *Holder) collectBundles(u *Update) (map[uint64]*bundle.Signed, error) {
 	bundles := map[uint64]*bundle.Signed{}
 	for _, signed := range []*bundle.Signed{h.state.Active, h.state.Staged} {
 		if signed != nil {
 			bundles[signed.Manifest.Version] = signed
 		}
 	}
-	for _, brought := range u.Bundles {
-		signed, err := h.takeBundle(bundles, brought)
+	for _, received := range u.Bundles {
+		signed, err := h.verifyBundle(bundles, received)
 		if err != nil {
-			return nil, fmt.Errorf("version %d: %w", brought.Manifest.Version, err)
+			return nil, fmt.Errorf("version %d: %w", received.Manifest.Version, err)
 		}
-		bundles[brought.Manifest.Version] = signed
+		bundles[received.Manifest.Version] = signed
 	}
 	return bundles, nil
 }
 
-// takeBundle checks that a bundle is just what was approved.
-func (h *Holder) takeBundle(held map[uint64]*bundle.Signed, brought BundleUpdate) (*bundle.Signed, error) {
-	if brought.Scope != h.group && (brought.Scope != "" || h.group == bundle.ScopeAll) {
-		return nil, fmt.Errorf("scope %q: %w", brought.Scope, ErrScope)
+// verifyBundle builds a received bundle from its delta, and verifies its digest and approval.
+func (h *Holder) verifyBundle(held map[uint64]*bundle.Signed, received BundleUpdate) (*bundle.Signed, error) {
+	if received.Scope != h.group && (received.Scope != "" || h.group == bundle.ScopeAll) {
+		return nil, fmt.Errorf("scope %q: %w", received.Scope, ErrScope)
 	}
 	base := bundle.Content{}
-	if brought.Base != 0 {
-		signed, found := held[brought.Base]
+	if received.Base != 0 {
+		signed, found := held[received.Base]
 		if !found {
-			return nil, fmt.Errorf("base %d: %w", brought.Base, ErrIncomplete)
+			return nil, fmt.Errorf("base %d: %w", received.Base, ErrMissingBundle)
 		}
 		base = signed.Content
 	}
-	content := base.Apply(brought.Delta)
-	if err := h.hasher.Check(brought.Proof, brought.Scope, content, brought.Manifest.Digest); err != nil {
+	content := base.Apply(received.Delta)
+	if err := h.hasher.Check(received.Proof, received.Scope, content, received.Manifest.Digest); err != nil {
 		return nil, err
 	}
-	if err := h.verifier.Verify(brought.Manifest, brought.Approval); err != nil {
+	if err := h.verifier.Verify(received.Manifest, received.Approval); err != nil {
 		return nil, err
 	}
-	return &bundle.Signed{Manifest: brought.Manifest, Approval: brought.Approval, Content: content}, nil
+	return &bundle.Signed{Manifest: received.Manifest, Approval: received.Approval, Content: content}, nil
 }
 
-// takeEndpoints puts the endpoints into next and drops those of services that are
-// not needed any more.
-func (h *Holder) takeEndpoints(next *State, u *Update) {
+// applyEndpoints sets the endpoints of next. On a node it drops the services that its bundles no longer
+// use.
+func (h *Holder) applyEndpoints(next *State, u *Update) {
 	held := h.state.Endpoints
 	if u.Reset {
 		held = nil
 	}
 	if h.group == bundle.ScopeAll {
-		next.Endpoints = held.with(u.Endpoints, true)
+		next.Endpoints = held.withChanges(u.Endpoints, true)
 		if next.Horizon > h.state.Horizon {
 			next.dropTombstonesTo(next.Horizon)
 		}
 		return
 	}
 	needed := neededServices(contentOf(next.Active), contentOf(next.Staged))
-	next.Endpoints = held.with(u.Endpoints, false).only(needed)
+	next.Endpoints = held.withChanges(u.Endpoints, false).restrictedTo(needed)
 }
 
-// rememberBundles keeps replaced bundles as bases of later deltas.
-func (h *Holder) rememberBundles(next *State) {
+// keepReplacedBundles keeps the replaced bundles as possible bases of later deltas.
+func (h *Holder) keepReplacedBundles(next *State) {
 	for _, old := range []*bundle.Signed{h.state.Active, h.state.Staged} {
 		version := versionOf(old)
 		if version != 0 && version != versionOf(next.Active) && version != versionOf(next.Staged) {
-			next.Recent = remember(next.Recent, old)
+			next.Recent = appendRecent(next.Recent, old)
 		}
 	}
 }
 
-func pick(bundles map[uint64]*bundle.Signed, version uint64) (*bundle.Signed, error) {
+func findBundle(bundles map[uint64]*bundle.Signed, version uint64) (*bundle.Signed, error) {
 	if version == 0 {
 		return nil, nil
 	}
 	signed, found := bundles[version]
 	if !found {
-		return nil, fmt.Errorf("version %d: %w", version, ErrIncomplete)
+		return nil, fmt.Errorf("version %d: %w", version, ErrMissingBundle)
 	}
 	return signed, nil
 }
--- a/pkg/distribution/orders_test.go
+++ b/pkg/distribution/orders_test.go
@@ -10,12 +10,12 @@
 	"github.com/matryer/is"
 )
 
-// Orders go to relays and nodes whole, once, also packed beside a large bundle, and a node finds them again
-// in what it saved.
-func TestHoldersGetOrdersWhenTheyChange(t *testing.T) {
+// Orders must be sent completely and only when they changed, also in packed updates, and must survive the
+// holder's saved state.
+func TestHoldersGetChangedOrders(t *testing.T) {
 	for _, group := range []string{"shop", bundle.ScopeAll} {
 		is := is.New(t)
-		state := stateOfRoutes(t, 1200).ChangeOrders(orders.Change{Evacuate: &orders.Evacuation{Zone: "a"}})
+		state := newStateWithRoutes(t, 1200).ChangeOrders(orders.Change{Evacuate: &orders.Evacuation{Zone: "a"}})
 		planner := NewPlanner(state)
 		first, err := planner.Plan(group, Position{})
 		is.NoErr(err)
@@ -24,12 +24,12 @@
 		is.NoErr(err)
 		unpacked, err := packed.Unpack()
 		is.NoErr(err)
-		holder := NewHolder(group, anyApproval{}, nil)
+		holder := NewHolder(group, acceptAllApprovals{}, nil)
 		is.NoErr(holder.Apply(unpacked))
 		is.True(holder.State().Orders.Evacuated("a"))
 
-		// Another change brings no orders, and leaves those that are held.
-		state = state.ChangeEndpoints([]Endpoint{endpoint("orders", 1, 1, Live)})
+		// An update for another change carries no orders and keeps the held ones.
+		state = state.ChangeEndpoints([]Endpoint{newEndpoint("orders", 1, 1, Live)})
 		planner.SetState(state)
 		update, err := planner.Plan(group, holder.State().Position())
 		is.NoErr(err)
@@ -42,7 +42,7 @@
 		var read State
 		is.NoErr(json.Unmarshal(saved, &read))
 		is.True(read.Orders.Evacuated("a"))
-		holder = NewHolder(group, anyApproval{}, &read)
+		holder = NewHolder(group, acceptAllApprovals{}, &read)
 
 		state = state.ChangeOrders(orders.Change{Readmit: "a"})
 		planner.SetState(state)
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestOrdersThatAreNoNewsCostNoRevision(t *testing.T) {
+func TestRepeatedOrdersAddNoRevision(t *testing.T) {
 	is := is.New(t)
 	state := (&State{}).ChangeOrders(orders.Change{Evacuate: &orders.Evacuation{Zone: "a", AtMillis: 1}})
 	is.True(state.ChangeOrders(orders.Change{Evacuate: &orders.Evacuation{Zone: "a", AtMillis: 2}}) == state)
--- a/pkg/distribution/packed.go
+++ b/pkg/distribution/packed.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	// packedItems is from how many routes, services, secrets and endpoints on an update is
-	// packed: below it, it fits into one or two network packets as it is.
-	packedItems = 32
-	// maxUpdate bounds an unpacked update in bytes; it is as large as the largest frame.
-	maxUpdate = 64 << 20
+	// minPackedItems is the number of changed items from which an update is packed. Smaller updates
+	// fit into one or two network packets without compression.
+	minPackedItems = 32
+	// maxUpdateBytes is the maximum size of an unpacked update in bytes. It equals the maximum frame size.
+	maxUpdateBytes = 64 << 20
 )
 
-// PackedUpdate is a large Update, encoded and compressed once for all holders that it goes to:
-// to do that for each of them would take a server longer than all else that it does for them.
+// PackedUpdate is a large Update that was encoded and compressed once for all its receivers, because
+// doing so for each one would dominate the load of a server.
 type PackedUpdate struct {
 	Data []byte
 }
 
-// items counts what an update brings.
+// items returns the number of endpoints and bundle items in the update.
 func (u *Update) items() int {
 	count := len(u.Endpoints)
 	for _, b := range u.Bundles {
@@ -31,10 +31,10 @@
 	return count
 }
 
-// Large reports whether the update should be sent packed.
-func (u *Update) Large() bool { return u.items() >= packedItems }
+// Large reports whether the update is large enough to be sent as a PackedUpdate.
+func (u *Update) Large() bool { return u.items() >= minPackedItems }
 
-// pack encodes an update.
+// pack encodes and compresses an update.
 func pack(update *Update) (*PackedUpdate, error) {
 	var encoded bytes.Buffer
 	if err := gob.NewEncoder(&encoded).Encode(update); err != nil {
@@ -47,9 +47,9 @@
 	return &PackedUpdate{Data: data}, nil
 }
 
-// Unpack returns the update.
+// Unpack decodes the update.
 func (p *PackedUpdate) Unpack() (*Update, error) {
-	encoded, err := deflate.Expand(p.Data, maxUpdate)
+	encoded, err := deflate.Expand(p.Data, maxUpdateBytes)
 	if err != nil {
 		return nil, fmt.Errorf("unpack update: %w", err)
 	}
@@ -60,7 +60,7 @@
 	return &update, nil
 }
 
-// Packed returns the packed form of an update that Plan returned. It is made once.
+// Packed returns the packed form of an update that Plan returned. It is cached until SetState.
 func (p *Planner) Packed(update *Update) (*PackedUpdate, error) {
 	if packed, found := p.packed[update]; found {
 		return packed, nil
--- a/pkg/distribution/packed_test.go
+++ b/pkg/distribution/packed_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// stateOfRoutes is a state whose active bundle has so many routes.
-func stateOfRoutes(tb testing.TB, routes int) *State {
+// newStateWithRoutes returns a state whose active bundle has the given number of routes.
+func newStateWithRoutes(tb testing.TB, routes int) *State {
 	tb.Helper()
 	content := bundle.Content{Services: []bundle.Service{{Name: "orders"}}}
 	for i := range routes {
@@ -26,11 +26,11 @@
 	return &State{Revision: 7, Active: &bundle.Signed{Manifest: bundle.Manifest{Version: 1, Digest: tree.Root()}, Content: content}}
 }
 
-// A large first state reaches a holder whole, in a fraction of its size, and is encoded once for
-// all holders at one position.
+// A large update must be compressed, must be encoded once for all holders at one position, and must
+// decode to the same update.
 func TestLargeUpdatesArePackedOnce(t *testing.T) {
 	is := is.New(t)
-	planner := NewPlanner(stateOfRoutes(t, 1200))
+	planner := NewPlanner(newStateWithRoutes(t, 1200))
 	update, err := planner.Plan("shop", Position{})
 	is.NoErr(err)
 	is.True(update.Large())
@@ -41,27 +41,27 @@
 	second, err := planner.Packed(again)
 	is.NoErr(err)
 	is.True(first == second)
-	is.True(len(first.Data) < 40_000) // 134 KB in gob
+	is.True(len(first.Data) < 40_000) // gob alone needs 134 KB
 	unpacked, err := first.Unpack()
 	is.NoErr(err)
 	is.Equal(unpacked, update)
-	holder := NewHolder("shop", anyApproval{}, nil)
+	holder := NewHolder("shop", acceptAllApprovals{}, nil)
 	is.NoErr(holder.Apply(unpacked))
 	is.Equal(len(holder.State().Active.Content.Routes), 1200)
-	planner.SetState(stateOfRoutes(t, 1200))
-	is.Equal(len(planner.packed), 0) // nothing of an earlier state is kept
+	planner.SetState(newStateWithRoutes(t, 1200))
+	is.Equal(len(planner.packed), 0) // SetState drops the cached updates
 }
 
 func TestSmallUpdatesAreNotPacked(t *testing.T) {
 	is := is.New(t)
-	update, err := NewPlanner(stateOfRoutes(t, 3)).Plan("shop", Position{})
+	update, err := NewPlanner(newStateWithRoutes(t, 3)).Plan("shop", Position{})
 	is.NoErr(err)
 	is.True(!update.Large())
 }
 
 func TestDamagedPackedUpdateIsAnError(t *testing.T) {
 	is := is.New(t)
-	planner := NewPlanner(stateOfRoutes(t, 100))
+	planner := NewPlanner(newStateWithRoutes(t, 100))
 	update, err := planner.Plan("shop", Position{})
 	is.NoErr(err)
 	packed, err := planner.Packed(update)
@@ -70,9 +70,9 @@
 	is.True(err != nil)
 }
 
-// BenchmarkPack is what a large update costs a server once for all holders.
+// BenchmarkPack measures how long a server packs a large update.
 func BenchmarkPack(b *testing.B) {
-	update, err := NewPlanner(stateOfRoutes(b, 2400)).Plan("shop", Position{})
+	update, err := NewPlanner(newStateWithRoutes(b, 2400)).Plan("shop", Position{})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -83,9 +83,9 @@
 	}
 }
 
-// BenchmarkUnpack is what it costs each holder.
+// BenchmarkUnpack measures how long a holder unpacks a large update.
 func BenchmarkUnpack(b *testing.B) {
-	update, err := NewPlanner(stateOfRoutes(b, 2400)).Plan("shop", Position{})
+	update, err := NewPlanner(newStateWithRoutes(b, 2400)).Plan("shop", Position{})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -100,14 +100,14 @@
 	}
 }
 
-// BenchmarkFirstState is what the first state costs a node besides unpacking it.
+// BenchmarkFirstState measures how long a node applies its first update, without unpacking.
 func BenchmarkFirstState(b *testing.B) {
-	update, err := NewPlanner(stateOfRoutes(b, 2400)).Plan("shop", Position{})
+	update, err := NewPlanner(newStateWithRoutes(b, 2400)).Plan("shop", Position{})
 	if err != nil {
 		b.Fatal(err)
 	}
 	for b.Loop() {
-		if err := NewHolder("shop", anyApproval{}, nil).Apply(update); err != nil {
+		if err := NewHolder("shop", acceptAllApprovals{}, nil).Apply(update); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/pkg/distribution/update.go
+++ b/pkg/distribution/update.go
@@ -10,55 +10,55 @@
 	"bramblelift/pkg/quarantine"
 )
 
-// BundleUpdate brings one bundle, as a delta to one that the holder has.
+// BundleUpdate transfers one bundle, as a delta to a bundle that the holder has.
 type BundleUpdate struct {
 	Manifest bundle.Manifest
 	Approval bundle.Approval
-	// Scope names the leaf of the digest tree that the content belongs to.
+	// Scope is the name of the scope that the content belongs to; Proof starts from its leaf in the
+	// digest tree.
 	Scope string
-	// Base is the version that Delta starts from; zero means from nothing.
+	// Base is the version that Delta applies to, zero for the empty content.
 	Base  uint64
 	Delta bundle.Delta
 	Proof bundle.Proof
 }
 
-// Update brings a holder from revision From, or any later one, to revision To.
+// Update brings a holder at revision From, or any later one, to revision To.
 type Update struct {
 	From uint64
 	To   uint64
-	// Reset drops all endpoints held before.
+	// Reset replaces all endpoints of the holder.
 	Reset     bool
 	Endpoints []Endpoint
 	Horizon   uint64
-	// Bundles are new active and staged bundles, the active one first.
+	// Bundles are the active and staged bundles that the holder does not have, the active one first.
 	Bundles []BundleUpdate
-	// Active and Staged are the versions that the holder has afterwards.
+	// Active and Staged are the versions after the update, zero for none.
 	Active uint64
 	Staged uint64
-	// EndpointDigest sums the endpoints that the holder has afterwards.
+	// EndpointDigest is the digest of the holder's endpoints after the update.
 	EndpointDigest uint64
-	// Watchlist replaces the holder's, nil if that is the newest.
+	// Watchlist replaces the holder's watchlist, nil if it has not changed.
 	Watchlist *quarantine.Watchlist
-	// Orders replace the holder's, nil if those are the newest.
+	// Orders replaces the holder's orders, nil if they have not changed.
 	Orders *orders.Table
 }
 
-// Changes reports whether the update brings anything besides a higher revision.
+// Changes reports whether the update changes more than the revision of a holder at position p.
 func (u *Update) Changes(p Position) bool {
 	return u.Reset || len(u.Endpoints) > 0 || len(u.Bundles) > 0 || u.Watchlist != nil || u.Orders != nil ||
 		u.Active != p.Active || u.Staged != p.Staged
 }
 
-// Planner computes updates for holders. Holders at the same position in the same
-// group get the same update, which is computed once. It is not safe for concurrent
-// use.
+// Planner computes updates for holders. Updates are cached, so that all holders of a group at the
+// same position share one. It is not safe for concurrent use.
 type Planner struct {
 	state *State
 	trees map[uint64]*bundle.Tree
-	// scopes caches the content of a version for a group.
+	// scopes caches the part of each content that a group needs.
 	scopes  map[scopeKey]*bundle.Content
 	updates map[updateKey]*Update
-	// packed holds the packed forms of updates.
+	// packed caches the packed forms of updates.
 	packed map[*Update]*PackedUpdate
 	hasher *bundle.Hasher
 }
@@ -80,10 +80,10 @@
 	return p
 }
 
-// State returns the newest state.
+// State returns the state that updates lead to.
 func (p *Planner) State() *State { return p.state }
 
-// SetState moves to a newer state.
+// SetState replaces the state by a newer one and drops the cached updates.
 func (p *Planner) SetState(state *State) {
 	p.state = state
 	p.updates = map[updateKey]*Update{}
@@ -100,8 +100,8 @@
 	}
 }
 
-// Plan returns the update for a holder of a group at a position, or nil if there is
-// nothing newer. The update is shared and must not be changed.
+// Plan returns the update for a holder of a group at a position, or nil if the holder is up to date.
+// The update is shared and must not be modified.
 func (p *Planner) Plan(group string, position Position) (*Update, error) {
 	if position.Revision >= p.state.Revision {
 		return nil, nil
@@ -122,7 +122,7 @@
 	update := &Update{
 		From: position.Revision, To: p.state.Revision,
 		Active: versionOf(p.state.Active), Staged: versionOf(p.state.Staged),
-		Reset: p.mustReset(group, position),
+		Reset: p.needsReset(group, position),
 	}
 	update.Watchlist = p.state.Watchlist.Since(position.Revision)
 	update.Orders = p.state.Orders.Since(position.Revision)
@@ -138,9 +138,9 @@
 	return update, nil
 }
 
-// mustReset reports whether the changes since a position cannot be told apart any
-// more: tombstones were forgotten, or it is not known which services the holder had.
-func (p *Planner) mustReset(group string, position Position) bool {
+// needsReset reports whether the changes since a position can no longer be determined, because
+// tombstones were dropped or the services that the holder has are unknown.
+func (p *Planner) needsReset(group string, position Position) bool {
 	if position.Revision < p.state.Horizon || position.Revision == 0 {
 		return true
 	}
@@ -148,7 +148,7 @@
 		return false
 	}
 	for _, version := range []uint64{position.Active, position.Staged} {
-		if version != 0 && p.scope(version, group) == nil {
+		if version != 0 && p.scopedContent(version, group) == nil {
 			return true
 		}
 	}
@@ -167,7 +167,7 @@
 			return err
 		}
 		update.Bundles = append(update.Bundles, planned)
-		// The staged bundle may build on the active one sent just before.
+		// The staged bundle may be a delta to the active one, which precedes it in the update.
 		base.Active = version
 	}
 	return nil
@@ -187,21 +187,22 @@
 	planned := BundleUpdate{Manifest: signed.Manifest, Approval: signed.Approval, Scope: scope, Proof: proof}
 	baseContent := &bundle.Content{}
 	for _, candidate := range []uint64{held.Active, held.Staged} {
-		if content := p.scope(candidate, group); content != nil {
+		if content := p.scopedContent(candidate, group); content != nil {
 			planned.Base = candidate
 			baseContent = content
 		}
 	}
-	planned.Delta = bundle.Diff(*baseContent, *p.scope(version, group))
+	planned.Delta = bundle.Diff(*baseContent, *p.scopedContent(version, group))
 	return planned, nil
 }
 
-// planAllEndpoints gives relays every change with its stamp, tombstones included.
+// planAllEndpoints adds all changed endpoints to an update for ScopeAll, including tombstones and the
+// revisions of the changes.
 func (p *Planner) planAllEndpoints(update *Update) {
 	update.Horizon = p.state.Horizon
 	update.EndpointDigest = p.state.Endpoints.digest(nil)
-	for _, held := range p.state.Endpoints {
-		for _, endpoint := range held {
+	for _, byID := range p.state.Endpoints {
+		for _, endpoint := range byID {
 			if update.Reset || endpoint.Modified > update.From {
 				update.Endpoints = append(update.Endpoints, endpoint)
 			}
@@ -209,19 +210,19 @@
 	}
 }
 
-// planGroupEndpoints gives a node the changes in the services that it needs, and the
-// whole of a service that is new to it.
+// planGroupEndpoints adds the changed endpoints of the services that a node uses, and all endpoints
+// of services that it did not use at its position.
 func (p *Planner) planGroupEndpoints(update *Update, group string, position Position) {
-	needed := neededServices(p.scope(update.Active, group), p.scope(update.Staged, group))
-	known := neededServices(p.scope(position.Active, group), p.scope(position.Staged, group))
+	needed := neededServices(p.scopedContent(update.Active, group), p.scopedContent(update.Staged, group))
+	known := neededServices(p.scopedContent(position.Active, group), p.scopedContent(position.Staged, group))
 	update.EndpointDigest = p.state.Endpoints.digest(needed)
 	for service := range needed {
-		whole := update.Reset || !known[service]
+		sendAll := update.Reset || !known[service]
 		for _, endpoint := range p.state.Endpoints[service] {
-			if whole && endpoint.State == Removed {
+			if sendAll && endpoint.State == Removed {
 				continue
 			}
-			if whole || endpoint.Modified > update.From {
+			if sendAll || endpoint.Modified > update.From {
 				endpoint.Modified = 0
 				update.Endpoints = append(update.Endpoints, endpoint)
 			}
@@ -229,9 +230,9 @@
 	}
 }
 
-// scope returns the content of a version for a group, or nil if the version is not
-// held any more.
-func (p *Planner) scope(version uint64, group string) *bundle.Content {
+// scopedContent returns the part of a version's content that a group needs, or nil if the state no longer
+// has the version.
+func (p *Planner) scopedContent(version uint64, group string) *bundle.Content {
 	signed := p.state.bundleOf(version)
 	if version == 0 || signed == nil {
 		return nil
@@ -258,8 +259,7 @@
 	return tree, nil
 }
 
-// sortEndpoints puts the endpoints into a fixed order, so that equal updates are
-// equal bytes.
+// sortEndpoints sorts by service and ID, so that equal updates have equal encodings.
 func sortEndpoints(endpoints []Endpoint) {
 	slices.SortFunc(endpoints, func(a, b Endpoint) int {
 		if byService := strings.Compare(a.Service, b.Service); byService != 0 {
--- a/pkg/distribution/watchlist_test.go
+++ b/pkg/distribution/watchlist_test.go
@@ -10,14 +10,15 @@
 	"github.com/matryer/is"
 )
 
-func endedState(s *State, request, instance string) *State {
+// stateAfterCrash returns the state after a crash of an instance while it processed the request.
+func stateAfterCrash(s *State, request, instance string) *State {
 	way := quarantine.Way{Caller: "c", Service: "s"}
 	return s.ChangeSuspects(quarantine.Change{Evidence: quarantine.Evidence{Ends: []quarantine.End{{Request: quarantine.Fingerprint(request), Instance: instance, Way: way}}}})
 }
 
-// Holders get the list when it changes for them, whole, and nothing for what they need not know:
-// every end of a back end makes suspects of all that it had.
-func TestHoldersGetTheWatchlistWhenItChanges(t *testing.T) {
+// Holders must get the complete watchlist when it changes, and no update for a first crash, which makes
+// suspects of all requests that were in flight.
+func TestHoldersGetChangedWatchlist(t *testing.T) {
 	for _, group := range []string{"", bundle.ScopeAll} {
 		t.Run(fmt.Sprintf("group %q", group), func(t *testing.T) {
 			is := is.New(t)
@@ -35,20 +36,20 @@
 				return update
 			}
 			apply()
-			state = endedState(state, "r", "i1")
-			is.Equal(apply(), nil) // one end is nothing for nodes
-			state = endedState(state, "r", "i2")
+			state = stateAfterCrash(state, "r", "i1")
+			is.Equal(apply(), nil) // a single crash does not change the watchlist
+			state = stateAfterCrash(state, "r", "i2")
 			is.True(apply().Watchlist != nil)
 			is.Equal(holder.State().Watchlist.Entries, []quarantine.Entry{{Request: "r"}})
 			is.Equal(holder.State().Suspects, nil)
-			state = endedState(state, "other", "i2")
+			state = stateAfterCrash(state, "other", "i2")
 			is.Equal(apply(), nil)
 			state = state.ChangeEndpoints([]Endpoint{{Service: "s", ID: "e", Incarnation: 1}})
 			if update := apply(); update != nil {
 				is.Equal(update.Watchlist, nil) // it is not sent again
 			}
 			is.Equal(len(holder.State().Watchlist.Entries), 1)
-			// Whoever comes new gets it.
+			// A new holder gets it.
 			update, err := NewPlanner(state).Plan(group, Position{})
 			is.NoErr(err)
 			is.Equal(update.Watchlist.Entries, []quarantine.Entry{{Request: "r"}})
@@ -56,9 +57,9 @@
 	}
 }
 
-func TestNoNewsOfSuspectsIsNoNewState(t *testing.T) {
+func TestRepeatedEvidenceAddsNoRevision(t *testing.T) {
 	is := is.New(t)
-	state := endedState(&State{Revision: 7}, "r", "i1")
+	state := stateAfterCrash(&State{Revision: 7}, "r", "i1")
 	is.Equal(state.Revision, uint64(8))
-	is.Equal(endedState(state, "r", "i1"), state)
+	is.Equal(stateAfterCrash(state, "r", "i1"), state)
 }
