--- a/pkg/bundle/approval.go
+++ b/pkg/bundle/approval.go
@@ -13,73 +13,74 @@
 	"strings"
 )
 
-// Manifest names one version of the bundle.
+// Manifest identifies one version of the bundle.
 type Manifest struct {
 	Version uint64 `json:"version"`
-	// Parent is the version that was the head when this one was created.
+	// Parent is the number of the version that was the head when this one was created, zero for the
+	// first.
 	Parent uint64 `json:"parent"`
 	Digest Digest `json:"digest"`
 }
 
-// Approval is a signature over a manifest.
+// Approval is a signature over a manifest, or PublicationApproval.
 type Approval struct {
 	KeyID     string `json:"key_id"`
 	Signature []byte `json:"signature"`
 }
 
-// Signed is a bundle, or one scope of it, with what proves that it was approved.
+// Signed is a bundle, or one scope of it, with its manifest and approval.
 type Signed struct {
 	Manifest Manifest `json:"manifest"`
 	Approval Approval `json:"approval"`
 	Content  Content  `json:"content"`
 }
 
-// ErrApproval: a signature is missing, unknown or wrong.
+// ErrApproval: the signature is wrong, or its key is not accepted.
 var ErrApproval = errors.New("approval does not check out")
 
-// keyIDBytes is how many bytes of the public key's digest make its ID.
+// keyIDBytes is the number of bytes of the public key's SHA-256 digest that form the key ID.
 const keyIDBytes = 4
 
-// signedText is what an approval signs: never the same bytes for two clusters, two
-// versions or two contents.
-func signedText(clusterID string, m Manifest) []byte {
+// signedMessage returns the message that an approval signs. It differs for any two clusters, versions
+// or contents.
+func signedMessage(clusterID string, m Manifest) []byte {
 	return fmt.Appendf(nil, "bramblelift approval 1\ncluster %q\nversion %d\nparent %d\ndigest %s\n",
 		clusterID, m.Version, m.Parent, m.Digest)
 }
 
-// KeyID derives the ID of a public key.
+// KeyID returns the ID of a public key: the first bytes of its SHA-256 digest in hexadecimal.
 func KeyID(key ed25519.PublicKey) string {
 	sum := sha256.Sum256(key)
 	return hex.EncodeToString(sum[:keyIDBytes])
 }
 
-// Sign approves a manifest.
+// Sign returns the approval of a manifest by a key, valid in one cluster.
 func Sign(key ed25519.PrivateKey, clusterID string, m Manifest) Approval {
 	public := key.Public().(ed25519.PublicKey)
-	return Approval{KeyID: KeyID(public), Signature: ed25519.Sign(key, signedText(clusterID, m))}
+	return Approval{KeyID: KeyID(public), Signature: ed25519.Sign(key, signedMessage(clusterID, m))}
 }
 
-// Verifier checks approvals against the accepted keys.
+// Verifier verifies approvals against the accepted public keys of a cluster.
 type Verifier struct {
 	clusterID string
 	keys      map[string]ed25519.PublicKey
-	// byPublication accepts PublicationKeyID, too.
-	byPublication bool
+	// allowPublication accepts approvals with PublicationKeyID.
+	allowPublication bool
 }
 
-// PublicationKeyID is the key ID of versions whose publication by an operator is the
-// sign-off. It cannot be the ID of a key.
+// PublicationKeyID is the key ID of versions that were published without a signature. It cannot be the
+// ID of a key, which is hexadecimal.
 const PublicationKeyID = "publication"
 
-// PublicationApproval is the approval of a version that was published in one act.
+// PublicationApproval returns the approval of a published version, which has no signature.
 func PublicationApproval() Approval { return Approval{KeyID: PublicationKeyID} }
 
-// AcceptPublication makes the verifier accept versions that were published in one act,
-// without a signature. Only deployments whose operators cannot sign set it.
-func (v *Verifier) AcceptPublication() { v.byPublication = true }
+// AcceptPublication makes the verifier accept published versions, which have no signature. It is meant
+// for deployments whose operators cannot sign.
+func (v *Verifier) AcceptPublication() { v.allowPublication = true }
 
-// NewVerifier accepts approvals by any of the keys, each base64 text. More than one
-// may be accepted while a key is being changed.
+// NewVerifier returns a verifier that accepts approvals by any of the Ed25519 public keys, given in
+// base64. Several keys allow for a key rotation.
 func NewVerifier(clusterID string, keys []string) (*Verifier, error) {
 	v := &Verifier{clusterID: clusterID, keys: map[string]ed25519.PublicKey{}}
 	for _, text := range keys {
@@ -92,30 +93,30 @@
 	return v, nil
 }
 
-// Verify checks that an accepted key approved the manifest.
+// Verify checks that an accepted key signed the manifest. Otherwise the error wraps ErrApproval.
 func (v *Verifier) Verify(m Manifest, a Approval) error {
-	if v.byPublication && a.KeyID == PublicationKeyID {
+	if v.allowPublication && a.KeyID == PublicationKeyID {
 		return nil
 	}
 	key, known := v.keys[a.KeyID]
 	if !known {
 		return fmt.Errorf("version %d: key %q is not accepted: %w", m.Version, a.KeyID, ErrApproval)
 	}
-	if !ed25519.Verify(key, signedText(v.clusterID, m), a.Signature) {
+	if !ed25519.Verify(key, signedMessage(v.clusterID, m), a.Signature) {
 		return fmt.Errorf("version %d: signature by key %s is wrong: %w", m.Version, a.KeyID, ErrApproval)
 	}
 	return nil
 }
 
 const (
-	keyFileMode    = 0o600
-	keyFileOthers  = 0o077
-	publicSuffix   = ".pub"
-	publicFileMode = 0o644
+	keyFileMode          = 0o600
+	keyFileForbiddenMode = 0o077
+	publicKeySuffix      = ".pub"
+	publicKeyFileMode    = 0o644
 )
 
-// GenerateKeyFile makes a key pair: the private key in path, the public one beside
-// it. It does not overwrite.
+// GenerateKeyFile generates an Ed25519 key pair. It writes the private key to path, which must not
+// exist, and the public key to path with the suffix ".pub", and returns the public key in base64.
 func GenerateKeyFile(path string) (publicKey string, err error) {
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
@@ -133,19 +134,20 @@
 		return "", fmt.Errorf("sync key file: %w", err)
 	}
 	publicKey = base64.StdEncoding.EncodeToString(public)
-	if err := os.WriteFile(path+publicSuffix, []byte(publicKey+"\n"), publicFileMode); err != nil {
+	if err := os.WriteFile(path+publicKeySuffix, []byte(publicKey+"\n"), publicKeyFileMode); err != nil {
 		return "", fmt.Errorf("write public key file: %w", err)
 	}
 	return publicKey, nil
 }
 
-// LoadKeyFile reads a private key. A file that others can read is refused.
+// LoadKeyFile reads a private key that GenerateKeyFile wrote. It is an error if the file is accessible
+// to other users.
 func LoadKeyFile(path string) (ed25519.PrivateKey, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, fmt.Errorf("read key file: %w", err)
 	}
-	if info.Mode()&fs.FileMode(keyFileOthers) != 0 {
+	if info.Mode()&fs.FileMode(keyFileForbiddenMode) != 0 {
 		return nil, fmt.Errorf("key file %s has mode %o: it must not be open to others", path, info.Mode().Perm())
 	}
 	text, err := os.ReadFile(path)
--- a/pkg/bundle/bundle_test.go
+++ b/pkg/bundle/bundle_test.go
@@ -14,7 +14,7 @@
 	"github.com/matryer/is"
 )
 
-const goodText = `
+const validText = `
 [[service]]
 name = "orders"
 [[service]]
@@ -34,14 +34,14 @@
 service = "prices"
 `
 
-func goodContent(t *testing.T) Content {
+func validContent(t *testing.T) Content {
 	t.Helper()
-	content, err := Parse("good.toml", []byte(goodText))
+	content, err := Parse("good.toml", []byte(validText))
 	is.New(t).NoErr(err)
 	return content
 }
 
-func TestValidateNamesEveryDanglingReference(t *testing.T) {
+func TestValidateReportsEveryProblem(t *testing.T) {
 	for name, test := range map[string]struct {
 		change func(*Content)
 		want   []string
@@ -61,7 +61,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			content := goodContent(t)
+			content := validContent(t)
 			test.change(&content)
 			err := content.Validate()
 			if test.want == nil {
@@ -71,7 +71,7 @@
 			var invalid *ValidationError
 			is.True(errors.As(err, &invalid))
 			for _, part := range test.want {
-				is.True(strings.Contains(err.Error(), part)) // the error names the fault
+				is.True(strings.Contains(err.Error(), part)) // the error contains the problem
 			}
 		})
 	}
@@ -92,9 +92,9 @@
 	}
 }
 
-func TestEveryScopeIsProvedByTheRoot(t *testing.T) {
+func TestProofsVerifyEveryScope(t *testing.T) {
 	is := is.New(t)
-	content := goodContent(t)
+	content := validContent(t)
 	tree, err := NewTree(content)
 	is.NoErr(err)
 	for _, group := range []string{"shop", "somebody-else", ScopeAll} {
@@ -105,25 +105,25 @@
 		is.NoErr(proof.Check(scope, scoped, tree.Root()))
 		tampered := scoped.Normalized()
 		tampered.Routes[0].Service = "prices2"
-		is.True(errors.Is(proof.Check(scope, tampered, tree.Root()), ErrDigest))   // another content
-		is.True(errors.Is(proof.Check("other", scoped, tree.Root()), ErrDigest))   // another scope
-		is.True(errors.Is(proof.Check(scope, scoped, Digest{1, 2, 3}), ErrDigest)) // another bundle
+		is.True(errors.Is(proof.Check(scope, tampered, tree.Root()), ErrDigest))   // modified content
+		is.True(errors.Is(proof.Check("other", scoped, tree.Root()), ErrDigest))   // wrong scope
+		is.True(errors.Is(proof.Check(scope, scoped, Digest{1, 2, 3}), ErrDigest)) // wrong root
 	}
 }
 
-func TestNodesGetOnlyWhatTheirRoutesUse(t *testing.T) {
+func TestScopeContainsOnlyWhatItsRoutesUse(t *testing.T) {
 	is := is.New(t)
-	scoped := goodContent(t).Scope("warehouse")
+	scoped := validContent(t).Scope("warehouse")
 	is.Equal(len(scoped.Routes), 1)
 	is.Equal(len(scoped.Services), 1)
-	is.Equal(len(scoped.Secrets), 0) // the secret is of a route of another group
+	is.Equal(len(scoped.Secrets), 0) // only a route of another group uses the secret
 	is.NoErr(scoped.Consistent())
 }
 
-func TestDeltaLeadsToTheNextContent(t *testing.T) {
+func TestApplyingDiffYieldsNextContent(t *testing.T) {
 	is := is.New(t)
-	old := goodContent(t)
-	next := goodContent(t)
+	old := validContent(t)
+	next := validContent(t)
 	next.HandBack = true
 	next.Routes = next.Routes[1:]
 	next.Secrets = nil
@@ -133,20 +133,20 @@
 	delta := Diff(old, next)
 	is.Equal(old.Apply(delta), next)
 	is.True(Diff(next, next).Empty())
-	is.Equal(len(delta.Services), 2) // the unchanged one is not sent
+	is.Equal(len(delta.Services), 2) // without the unchanged service
 }
 
-func TestSecretsNeverPrint(t *testing.T) {
-	content := goodContent(t)
+func TestSecretValuesAreNeverPrinted(t *testing.T) {
+	content := validContent(t)
 	for _, format := range []string{"%v", "%+v", "%#v", "%s", "%q", "%x", "%d"} {
 		text := fmt.Sprintf(format, content) + fmt.Sprintf(format, content.Secrets[0]) + fmt.Sprintf(format, &content)
 		if strings.Contains(text, "very-secret") || strings.Contains(text, fmt.Sprintf("%x", "very-secret")) {
-			t.Errorf("%s shows the secret: %s", format, text)
+			t.Errorf("%s prints the secret: %s", format, text)
 		}
 	}
 }
 
-func TestApprovalIsForOneClusterVersionAndContent(t *testing.T) {
+func TestApprovalIsBoundToClusterVersionAndContent(t *testing.T) {
 	is := is.New(t)
 	public, private, err := ed25519.GenerateKey(nil)
 	is.NoErr(err)
@@ -159,12 +159,12 @@
 	for _, other := range []Manifest{{Version: 5, Parent: 3, Digest: Digest{9}}, {Version: 4, Parent: 2, Digest: Digest{9}}, {Version: 4, Parent: 3, Digest: Digest{8}}} {
 		is.True(errors.Is(verifier.Verify(other, approval), ErrApproval))
 	}
-	elsewhere, err := NewVerifier("west", keys)
+	otherCluster, err := NewVerifier("west", keys)
 	is.NoErr(err)
-	is.True(errors.Is(elsewhere.Verify(manifest, approval), ErrApproval))
-	stranger, err := NewVerifier("east", nil)
+	is.True(errors.Is(otherCluster.Verify(manifest, approval), ErrApproval))
+	withoutKeys, err := NewVerifier("east", nil)
 	is.NoErr(err)
-	is.True(errors.Is(stranger.Verify(manifest, approval), ErrApproval))
+	is.True(errors.Is(withoutKeys.Verify(manifest, approval), ErrApproval))
 	_, err = NewVerifier("east", []string{"not a key"})
 	is.True(err != nil)
 }
@@ -183,25 +183,25 @@
 	is.True(err != nil && strings.Contains(err.Error(), "must not be open to others"))
 }
 
-func TestDigestForms(t *testing.T) {
+func TestDigestEncodingsRoundTrip(t *testing.T) {
 	is := is.New(t)
 	digest := Digest{1, 2, 250}
 	binary, err := digest.MarshalBinary()
 	is.NoErr(err)
-	var again Digest
-	is.NoErr(again.UnmarshalBinary(binary))
-	is.Equal(again, digest)
-	is.True(again.UnmarshalBinary(binary[1:]) != nil)
+	var decoded Digest
+	is.NoErr(decoded.UnmarshalBinary(binary))
+	is.Equal(decoded, digest)
+	is.True(decoded.UnmarshalBinary(binary[1:]) != nil)
 	text, err := json.Marshal(digest)
 	is.NoErr(err)
-	is.NoErr(json.Unmarshal(text, &again))
-	is.Equal(again, digest)
+	is.NoErr(json.Unmarshal(text, &decoded))
+	is.Equal(decoded, digest)
 }
 
-// FuzzParse checks that no text makes the parser panic and that a valid bundle has a
-// provable digest.
+// FuzzParse checks that the parser never panics, and that every scope of a valid bundle has a valid
+// proof and no missing references.
 func FuzzParse(f *testing.F) {
-	f.Add(goodText)
+	f.Add(validText)
 	f.Add("hand_back = true\n[[route]]\nname = \"a\"\npath_prefix = \"/\"\nservice = \"a\"\n[[service]]\nname = \"a\"\n")
 	f.Add("[[route]]\nsources = [\"*\"]")
 	f.Fuzz(func(t *testing.T, text string) {
@@ -217,10 +217,10 @@
 			proof, found := tree.Proof(group)
 			scoped := content.Scope(group)
 			if !found || proof.Check(group, scoped, tree.Root()) != nil {
-				t.Fatalf("scope %q is not provable", group)
+				t.Fatalf("scope %q has no valid proof", group)
 			}
 			if err := scoped.Consistent(); err != nil {
-				t.Fatalf("scope %q dangles: %v", group, err)
+				t.Fatalf("scope %q has a missing reference: %v", group, err)
 			}
 		}
 	})
@@ -229,7 +229,7 @@
 func TestRegionsMustHaveAZone(t *testing.T) {
 	is := is.New(t)
 	content := Content{Routes: []Route{{Name: "r", PathPrefix: "/", Regions: []string{"east", "north"}}}}
-	is.NoErr(content.CheckRegions(nil)) // regions are not told apart here
+	is.NoErr(content.CheckRegions(nil)) // without known regions all are allowed
 	is.NoErr(content.CheckRegions([]string{"north", "east", "east"}))
 	err := content.CheckRegions([]string{"east"})
 	is.True(err != nil && strings.Contains(err.Error(), `region "north" has no zone`))
--- a/pkg/bundle/handling_test.go
+++ b/pkg/bundle/call_policy_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-const handlingBundle = `
+const callPolicyBundle = `
 [limits]
 max_body_bytes = 1000
 idle_timeout = "15s"
@@ -36,9 +36,9 @@
   weight = 10
 `
 
-func TestHandlingOfCallsInABundleFile(t *testing.T) {
+func TestParseReadsCallPolicies(t *testing.T) {
 	is := is.New(t)
-	content, err := Parse("bundle.toml", []byte(handlingBundle))
+	content, err := Parse("bundle.toml", []byte(callPolicyBundle))
 	is.NoErr(err)
 	is.NoErr(content.Validate())
 	is.Equal(content.Limits, Limits{MaxBodyBytes: 1000, IdleTimeout: Duration(15 * time.Second)})
@@ -47,11 +47,11 @@
 		TargetLatency: Duration(250 * time.Millisecond), Timeout: Duration(600 * time.Millisecond),
 		Shares: []Share{{Service: "new", Weight: 90}, {Service: "old", Weight: 10}},
 	})
-	is.Equal(len(content.Scope("anybody").Services), 2) // a node gets the services of all shares
+	is.Equal(len(content.Scope("anybody").Services), 2) // the services of all shares are included
 	is.Equal(Content{}.Apply(Diff(Content{}, content)), content)
 }
 
-func TestHandlingThatCannotBe(t *testing.T) {
+func TestValidateRejectsInvalidCallPolicies(t *testing.T) {
 	for name, change := range map[string][2]string{
 		"unknown kind":        {`"unsafe"`, `"maybe"`},
 		"weights sum to 0":    {"weight = 90", "weight = 0"},
@@ -65,7 +65,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			text := strings.Replace(handlingBundle, change[0], change[1], 1)
+			text := strings.Replace(callPolicyBundle, change[0], change[1], 1)
 			if name == "weights sum to 0" {
 				text = strings.Replace(text, "weight = 10", "weight = 0", 1)
 			}
--- a/pkg/bundle/delta.go
+++ b/pkg/bundle/delta.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// Delta turns one content into another.
+// Delta is the difference between two contents: the new values of HandBack and Limits, the added and
+// changed resources, and the names of the removed ones.
 type Delta struct {
 	HandBack        bool      `json:"hand_back,omitempty"`
 	Limits          Limits    `json:"limits,omitzero"`
@@ -16,7 +17,7 @@
 	RemovedTenants  []string  `json:"removed_tenants,omitempty"`
 }
 
-// Diff returns the delta from old to next; both must be normalized.
+// Diff returns the delta from old to next. Both must be normalized.
 func Diff(old, next Content) Delta {
 	d := Delta{HandBack: next.HandBack, Limits: next.Limits}
 	d.Routes, d.RemovedRoutes = diffByName(old.Routes, next.Routes, routeName, (*Route).equal)
@@ -26,16 +27,16 @@
 	return d
 }
 
-// Empty reports whether the delta changes no resource.
+// Empty reports whether the delta changes no resource. HandBack and Limits are not considered.
 func (d Delta) Empty() bool { return d.Items() == 0 }
 
-// Items counts the resources that the delta changes.
+// Items returns the number of resources that the delta adds, changes or removes.
 func (d Delta) Items() int {
 	return len(d.Routes) + len(d.RemovedRoutes) + len(d.Services) + len(d.RemovedServices) +
 		len(d.Secrets) + len(d.RemovedSecrets) + len(d.Tenants) + len(d.RemovedTenants)
 }
 
-// Apply returns the content that the delta makes of c. c stays as it is.
+// Apply returns the content after the delta. It does not modify c.
 func (c Content) Apply(d Delta) Content {
 	next := Content{
 		HandBack: d.HandBack,
@@ -49,32 +50,33 @@
 	return next
 }
 
-// diffByName walks two lists that are sorted by name side by side.
+// diffByName merges two lists sorted by name. It returns the added and changed items of next, and the
+// names that are in old only.
 func diffByName[T any](old, next []T, name func(T) string, equal func(a, b *T) bool) (changed []T, removed []string) {
-	at := 0
+	j := 0
 	for i := range next {
 		wanted := name(next[i])
-		for at < len(old) && name(old[at]) < wanted {
-			removed = append(removed, name(old[at]))
-			at++
+		for j < len(old) && name(old[j]) < wanted {
+			removed = append(removed, name(old[j]))
+			j++
 		}
-		if at < len(old) && name(old[at]) == wanted {
-			if !equal(&old[at], &next[i]) {
+		if j < len(old) && name(old[j]) == wanted {
+			if !equal(&old[j], &next[i]) {
 				changed = append(changed, next[i])
 			}
-			at++
+			j++
 			continue
 		}
 		changed = append(changed, next[i])
 	}
-	for ; at < len(old); at++ {
-		removed = append(removed, name(old[at]))
+	for ; j < len(old); j++ {
+		removed = append(removed, name(old[j]))
 	}
 	return changed, removed
 }
 
-// applyByName returns the items, sorted by name, without the removed and with the changed
-// ones.
+// applyByName returns a list sorted by name: the items without the removed ones, and with the changed
+// ones added or replaced. Without any change it returns items itself.
 func applyByName[T any](items, changed []T, removed []string, name func(T) string) []T {
 	if len(changed) == 0 && len(removed) == 0 {
 		return items
@@ -83,17 +85,17 @@
 	removed = slices.Sorted(slices.Values(removed))
 	result := make([]T, 0, len(items)+len(changed))
 	for i := range items {
-		held := name(items[i])
-		for len(changed) > 0 && name(changed[0]) < held {
+		current := name(items[i])
+		for len(changed) > 0 && name(changed[0]) < current {
 			result = append(result, changed[0])
 			changed = changed[1:]
 		}
-		for len(removed) > 0 && removed[0] < held {
+		for len(removed) > 0 && removed[0] < current {
 			removed = removed[1:]
 		}
-		replaced := len(changed) > 0 && name(changed[0]) == held
-		gone := len(removed) > 0 && removed[0] == held
-		if !replaced && !gone {
+		replaced := len(changed) > 0 && name(changed[0]) == current
+		deleted := len(removed) > 0 && removed[0] == current
+		if !replaced && !deleted {
 			result = append(result, items[i])
 		}
 	}
--- a/pkg/bundle/digest.go
+++ b/pkg/bundle/digest.go
@@ -11,17 +11,17 @@
 // Digest is a SHA-256 sum.
 type Digest [sha256.Size]byte
 
-// shortDigestBytes is how much of a digest is shown to people.
+// shortDigestBytes is the number of bytes in the short form of a digest.
 const shortDigestBytes = 6
 
 // String returns the digest in hexadecimal.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// Short returns the first digits, enough for people to compare.
+// Short returns the first 12 hexadecimal digits, for display.
 func (d Digest) Short() string { return hex.EncodeToString(d[:shortDigestBytes]) }
 
-// MarshalBinary implements encoding.BinaryMarshaler, which gob uses: an array would take
-// up to two bytes for each of its own.
+// MarshalBinary implements encoding.BinaryMarshaler. Without it gob would need up to two bytes for each
+// byte of the array.
 func (d Digest) MarshalBinary() ([]byte, error) { return d[:], nil }
 
 // UnmarshalBinary implements encoding.BinaryUnmarshaler.
@@ -46,48 +46,49 @@
 	return nil
 }
 
-// ShortDigest identifies a secret's value without telling it.
+// ShortDigest returns a short digest of the secret's name and value, which does not reveal the value.
 func (s Secret) ShortDigest() string {
 	return Digest(sha256.Sum256([]byte("secret\x00" + s.Name + "\x00" + s.Value))).Short()
 }
 
-// ErrDigest: a content is not the one that its digest or approval names.
+// ErrDigest: a content does not match the approved digest.
 var ErrDigest = errors.New("content does not match the approved digest")
 
-// Prefixes that keep leaves, inner nodes and items of the Merkle tree apart.
+// Domain separation: the first byte of the hashed data differs for leaves, inner nodes and items.
 const (
-	wholeLeafPrefix = 0
-	nodePrefix      = 1
-	leafPrefix      = 2
-	itemPrefix      = 3
+	legacyLeafPrefix = 0
+	nodePrefix       = 1
+	leafPrefix       = 2
+	itemPrefix       = 3
 )
 
-// Step is one level of a proof: the sibling's digest and its side.
+// Step is one level of a proof: the digest of the sibling, and whether the sibling is on the left.
 type Step struct {
 	Sibling Digest
 	Left    bool
 }
 
-// Proof leads from the leaf of one scope to the digest of the whole bundle.
+// Proof is a Merkle proof: the steps from the leaf of one scope up to the root, which is the digest of
+// the bundle.
 type Proof []Step
 
-// Tree is the Merkle tree over the scopes of a content.
+// Tree is the Merkle tree of a content, with one leaf for each scope.
 type Tree struct {
 	scopes []string
-	// levels holds the leaves first, the root last.
+	// levels holds the digests of each level, from the leaves to the root.
 	levels [][]Digest
 }
 
-// NewTree builds the tree of a normalized content.
+// NewTree returns the tree of a normalized content.
 func NewTree(c Content) (*Tree, error) { return NewHasher().Tree(c) }
 
-// newTree builds the tree with a leaf for each scope.
-func newTree(c Content, leafOf func(scope string, scoped Content) (Digest, error)) (*Tree, error) {
+// newTree builds the tree of a content, with leaves computed by leafFunc.
+func newTree(c Content, leafFunc func(scope string, scoped Content) (Digest, error)) (*Tree, error) {
 	scopes := append(c.Groups(), ScopeAll)
 	slices.Sort(scopes)
 	leaves := make([]Digest, len(scopes))
 	for i, scope := range scopes {
-		leaf, err := leafOf(scope, c.Scope(scope))
+		leaf, err := leafFunc(scope, c.Scope(scope))
 		if err != nil {
 			return nil, err
 		}
@@ -101,10 +102,10 @@
 	return t, nil
 }
 
-// Root returns the digest of the whole bundle.
+// Root returns the digest of the bundle.
 func (t *Tree) Root() Digest { return t.levels[len(t.levels)-1][0] }
 
-// Proof returns the proof for a scope, and false if the tree has no such scope.
+// Proof returns the proof of a scope, and false if the tree has no such scope.
 func (t *Tree) Proof(scope string) (Proof, bool) {
 	index, found := slices.BinarySearch(t.scopes, scope)
 	if !found {
@@ -121,13 +122,13 @@
 	return proof, true
 }
 
-// Check verifies that the content of a scope belongs to the bundle with the given
-// digest.
+// Check verifies that the content of a scope belongs to the bundle with the given root. Otherwise the
+// error wraps ErrDigest.
 func (p Proof) Check(scope string, scoped Content, root Digest) error {
 	return NewHasher().Check(p, scope, scoped, root)
 }
 
-// root returns the digest that a proof leads to from a leaf.
+// root returns the root that the proof computes from a leaf.
 func (p Proof) root(leaf Digest) Digest {
 	current := leaf
 	for _, step := range p {
--- a/pkg/bundle/hasher.go
+++ b/pkg/bundle/hasher.go
@@ -8,43 +8,44 @@
 	"hash"
 )
 
-// Hasher computes digests of contents. Two bundles in a row are nearly equal: it remembers
-// the digests of routes, services, secrets and tenants by their names, and computes only those of
-// items that changed. The zero value does not work; it is not safe for concurrent use.
+// Hasher computes digests of contents. It caches the digests of routes, services, secrets and tenants,
+// so that only those of changed items are computed, because consecutive bundles differ little. Use
+// NewHasher to create one. It is not safe for concurrent use.
 type Hasher struct {
-	routes   *itemMemo[Route]
-	services *itemMemo[Service]
-	secrets  *itemMemo[Secret]
-	tenants  *itemMemo[Tenant]
+	routes   *digestCache[Route]
+	services *digestCache[Service]
+	secrets  *digestCache[Secret]
+	tenants  *digestCache[Tenant]
 }
 
-// NewHasher returns a hasher that remembers nothing yet.
+// NewHasher returns a hasher with empty caches.
 func NewHasher() *Hasher {
 	return &Hasher{
-		routes:   newItemMemo("route", routeName, (*Route).equal, (*Route).clone),
-		services: newItemMemo("service", serviceName, (*Service).equal, (*Service).clone),
-		secrets:  newItemMemo("secret", secretName, (*Secret).equal, (*Secret).clone),
-		tenants:  newItemMemo("tenant", tenantName, (*Tenant).equal, (*Tenant).clone),
+		routes:   newDigestCache("route", routeName, (*Route).equal, (*Route).clone),
+		services: newDigestCache("service", serviceName, (*Service).equal, (*Service).clone),
+		secrets:  newDigestCache("secret", secretName, (*Secret).equal, (*Secret).clone),
+		tenants:  newDigestCache("tenant", tenantName, (*Tenant).equal, (*Tenant).clone),
 	}
 }
 
-// Tree builds the tree of a normalized content.
+// Tree returns the tree of a normalized content.
 func (h *Hasher) Tree(c Content) (*Tree, error) {
-	defer h.endCall()
+	defer h.resetLastLists()
 	return newTree(c, h.leaf)
 }
 
-// endCall forgets the lists of one call: their owner may change them afterwards.
-func (h *Hasher) endCall() {
-	h.routes.newest, h.services.newest, h.secrets.newest, h.tenants.newest = nil, nil, nil, nil
+// resetLastLists drops the references to the lists of the present call, which the caller may modify
+// afterwards.
+func (h *Hasher) resetLastLists() {
+	h.routes.lastList, h.services.lastList, h.secrets.lastList, h.tenants.lastList = nil, nil, nil, nil
 }
 
-// TreeFor builds the tree of a normalized content that has the given root, also of bundles
-// from before items had digests of their own. Otherwise the error wraps ErrDigest.
+// TreeFor returns the tree of a normalized content in the format, current or legacy, that has the given
+// root. If neither has it, the error wraps ErrDigest.
 func (h *Hasher) TreeFor(c Content, root Digest) (*Tree, error) {
-	defer h.endCall()
-	for _, leafOf := range []func(string, Content) (Digest, error){h.leaf, wholeLeaf} {
-		t, err := newTree(c, leafOf)
+	defer h.resetLastLists()
+	for _, leafFunc := range []func(string, Content) (Digest, error){h.leaf, legacyLeaf} {
+		t, err := newTree(c, leafFunc)
 		if err != nil {
 			return nil, err
 		}
@@ -55,11 +56,12 @@
 	return nil, fmt.Errorf("digest %s: %w", root.Short(), ErrDigest)
 }
 
-// Check verifies that the content of a scope belongs to the bundle with the given root.
+// Check verifies that the content of a scope belongs to the bundle with the given root, in the current
+// or the legacy format. Otherwise the error wraps ErrDigest.
 func (h *Hasher) Check(p Proof, scope string, scoped Content, root Digest) error {
-	defer h.endCall()
-	for _, leafOf := range []func(string, Content) (Digest, error){h.leaf, wholeLeaf} {
-		leaf, err := leafOf(scope, scoped)
+	defer h.resetLastLists()
+	for _, leafFunc := range []func(string, Content) (Digest, error){h.leaf, legacyLeaf} {
+		leaf, err := leafFunc(scope, scoped)
 		if err != nil {
 			return err
 		}
@@ -70,14 +72,15 @@
 	return fmt.Errorf("scope %q: %w", scope, ErrDigest)
 }
 
-// leafHead is what a leaf sums besides the items.
+// leafHead is the part of a leaf that is hashed before the digests of the lists.
 type leafHead struct {
 	Scope    string
 	HandBack bool
 	Limits   Limits
 }
 
-// leaf sums a scope's name and content: the head as JSON, then the digests of the lists.
+// leaf returns the digest of a scope's name and content: of the head as JSON and the digests of the
+// lists.
 func (h *Hasher) leaf(scope string, scoped Content) (Digest, error) {
 	head, err := json.Marshal(leafHead{Scope: scope, HandBack: scoped.HandBack, Limits: scoped.Limits})
 	if err != nil {
@@ -96,7 +99,7 @@
 	if err := h.secrets.write(sum, scoped.Secrets); err != nil {
 		return Digest{}, err
 	}
-	// A content without tenants has the digest that programs from before them compute.
+	// Without tenants the digest equals that of programs that do not support tenants.
 	if len(scoped.Tenants) > 0 {
 		if err := h.tenants.write(sum, scoped.Tenants); err != nil {
 			return Digest{}, err
@@ -109,9 +112,9 @@
 	sum.Write(binary.BigEndian.AppendUint64(nil, uint64(n)))
 }
 
-// wholeLeaf is the leaf of bundles from before items had digests of their own: logs and
-// disks may still hold such.
-func wholeLeaf(scope string, scoped Content) (Digest, error) {
+// legacyLeaf returns the leaf in the legacy format, which hashes the complete content as one JSON
+// document. Stored bundles may have such digests.
+func legacyLeaf(scope string, scoped Content) (Digest, error) {
 	content, err := json.Marshal(scoped)
 	if err != nil {
 		return Digest{}, fmt.Errorf("digest of scope %q: %w", scope, err)
@@ -120,92 +123,93 @@
 	if err != nil {
 		return Digest{}, fmt.Errorf("digest of scope %q: %w", scope, err)
 	}
-	data := append([]byte{wholeLeafPrefix}, name...)
+	data := append([]byte{legacyLeafPrefix}, name...)
 	return sha256.Sum256(append(data, content...)), nil
 }
 
-// itemMemo remembers the digests of the items of one kind.
-type itemMemo[T any] struct {
-	kind  string
-	name  func(T) string
-	equal func(a, b *T) bool
-	clone func(*T) T
-	held  map[string]*itemDigest[T]
-	// newest is the list that newestDigest is of, within one call of the Hasher.
-	newest       []T
-	newestDigest Digest
+// digestCache caches the digests of the items of one kind by name.
+type digestCache[T any] struct {
+	kind    string
+	name    func(T) string
+	equal   func(a, b *T) bool
+	clone   func(*T) T
+	entries map[string]*cachedDigest[T]
+	// lastList is the list whose digest was computed last in the present call of the Hasher.
+	lastList   []T
+	lastDigest Digest
 }
 
-type itemDigest[T any] struct {
+type cachedDigest[T any] struct {
 	item   T
 	digest Digest
 }
 
-func newItemMemo[T any](kind string, name func(T) string, equal func(a, b *T) bool, clone func(*T) T) *itemMemo[T] {
-	return &itemMemo[T]{kind: kind, name: name, equal: equal, clone: clone, held: map[string]*itemDigest[T]{}}
+func newDigestCache[T any](kind string, name func(T) string, equal func(a, b *T) bool, clone func(*T) T) *digestCache[T] {
+	return &digestCache[T]{kind: kind, name: name, equal: equal, clone: clone, entries: map[string]*cachedDigest[T]{}}
 }
 
-// write adds a list's digest to a sum.
-func (m *itemMemo[T]) write(sum hash.Hash, items []T) error {
-	if !m.isNewest(items) {
-		d, err := m.list(items)
+// write writes the digest of a list to sum.
+func (c *digestCache[T]) write(sum hash.Hash, items []T) error {
+	if !c.isLastList(items) {
+		d, err := c.list(items)
 		if err != nil {
 			return err
 		}
-		m.newest, m.newestDigest = items, d
+		c.lastList, c.lastDigest = items, d
 	}
-	sum.Write(m.newestDigest[:])
+	sum.Write(c.lastDigest[:])
 	return nil
 }
 
-// isNewest reports whether a list is the very one that was digested last: the scopes of one
-// content share most lists. Nobody may change them meanwhile.
-func (m *itemMemo[T]) isNewest(items []T) bool {
-	return len(items) > 0 && len(items) == len(m.newest) && &items[0] == &m.newest[0]
+// isLastList reports whether items is the same slice as lastList, as the scopes of one content share
+// most lists. The slice must not be modified during a call of the Hasher.
+func (c *digestCache[T]) isLastList(items []T) bool {
+	return len(items) > 0 && len(items) == len(c.lastList) && &items[0] == &c.lastList[0]
 }
 
-// list sums the number of items and their digests.
-func (m *itemMemo[T]) list(items []T) (Digest, error) {
+// list returns the digest of the number of items and the digests of the items.
+func (c *digestCache[T]) list(items []T) (Digest, error) {
 	sum := sha256.New()
 	writeCount(sum, len(items))
 	for i := range items {
-		d, err := m.digest(&items[i])
+		d, err := c.digest(&items[i])
 		if err != nil {
 			return Digest{}, err
 		}
 		sum.Write(d[:])
 	}
-	m.forget(items)
+	c.prune(items)
 	return Digest(sum.Sum(nil)), nil
 }
 
-func (m *itemMemo[T]) digest(item *T) (Digest, error) {
-	name := m.name(*item)
-	if held, found := m.held[name]; found && m.equal(&held.item, item) {
-		return held.digest, nil
+// digest returns the digest of an item, from the cache if the item has not changed.
+func (c *digestCache[T]) digest(item *T) (Digest, error) {
+	name := c.name(*item)
+	if entry, found := c.entries[name]; found && c.equal(&entry.item, item) {
+		return entry.digest, nil
 	}
 	text, err := json.Marshal(item)
 	if err != nil {
-		return Digest{}, fmt.Errorf("digest of %s %q: %w", m.kind, name, err)
+		return Digest{}, fmt.Errorf("digest of %s %q: %w", c.kind, name, err)
 	}
-	data := append([]byte{itemPrefix}, m.kind...)
+	data := append([]byte{itemPrefix}, c.kind...)
 	d := Digest(sha256.Sum256(append(data, text...)))
-	m.held[name] = &itemDigest[T]{item: m.clone(item), digest: d}
+	c.entries[name] = &cachedDigest[T]{item: c.clone(item), digest: d}
 	return d, nil
 }
 
-// memoSlack is how many items that are not in use any more may be remembered.
-const memoSlack = 256
+// cacheSlack is the number of entries that a cache may have beyond twice the number of items in use.
+const cacheSlack = 256
 
-// forget drops what was not in the newest list, once that is much.
-func (m *itemMemo[T]) forget(items []T) {
-	if len(m.held) <= 2*len(items)+memoSlack {
+// prune drops the entries that are not in items, if the cache is too large.
+func (c *digestCache[T]) prune(items []T) {
+	if len(c.entries) <= 2*len(items)+cacheSlack {
 		return
 	}
-	kept := make(map[string]*itemDigest[T], len(items))
+	kept := make(map[string]*cachedDigest[T], len(items))
 	for _, item := range items {
-		name := m.name(item)
-		kept[name] = m.held[name]
+		name := c.name(item)
+		kept[name] = c.entries[name]
 	}
-	m.held = kept
+	c.entries = kept
 }
--- a/pkg/bundle/hasher_test.go
+++ b/pkg/bundle/hasher_test.go
@@ -10,7 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-func hashedContent(n int) Content {
+// contentWithRoutes returns a content with n routes, some of which only the group g serves.
+func contentWithRoutes(n int) Content {
 	c := Content{Services: []Service{{Name: "a", Endpoints: []Endpoint{{ID: "e", Address: "10.0.0.1:1"}}}, {Name: "b"}}}
 	for i := range n {
 		r := Route{Name: fmt.Sprintf("r%03d", i), PathPrefix: fmt.Sprintf("/%d/", i), Service: "a"}
@@ -22,8 +23,8 @@
 	return c.Normalized()
 }
 
-// changeEachField calls check once for each field of a struct, deep in it, with that field
-// changed.
+// changeEachField calls check once for each field of a struct, recursively, while that field has
+// another value.
 func changeEachField(t *testing.T, v reflect.Value, path string, check func(path string)) {
 	t.Helper()
 	switch v.Kind() {
@@ -59,15 +60,15 @@
 	case reflect.Float64:
 		v.SetFloat(v.Float() + 1)
 	default:
-		t.Fatalf("%s: kind %s is not known to this test", path, v.Kind())
+		t.Fatalf("%s: kind %s is not supported by this test", path, v.Kind())
 	}
 	check(path)
 	v.Set(old)
 }
 
-// Whatever field of whatever item changes, remembered digests are not taken for the new
-// ones: a field that the comparison forgets would let a changed bundle pass as approved.
-func TestHasherNoticesEachField(t *testing.T) {
+// Guards against a field that the comparison of items omits: the cached digest would make a modified
+// bundle pass as approved.
+func TestHasherDetectsChangeOfEachField(t *testing.T) {
 	is := is.New(t)
 	c := Content{
 		Routes:   []Route{{Name: "r", PathPrefix: "/", Service: "a", Secret: "s"}},
@@ -84,11 +85,11 @@
 		fresh, err := NewTree(c)
 		is.NoErr(err)
 		if changed.Root() != fresh.Root() {
-			t.Errorf("%s: the remembered digest was taken", path)
+			t.Errorf("%s: the outdated cached digest was used", path)
 		}
-		// An element of a list may be its zero value, which JSON leaves out.
+		// The change must show although JSON omits fields with zero values.
 		if changed.Root() == first.Root() {
-			t.Errorf("%s: the change does not show", path)
+			t.Errorf("%s: the digest did not change", path)
 		}
 		seen++
 	})
@@ -98,15 +99,15 @@
 	is.Equal(again.Root(), first.Root())
 }
 
-// A hasher that has seen anything before gives the same digests as a new one.
-func TestHasherAgreesWithANewOne(t *testing.T) {
+// A hasher with cached digests must return the same digests as a new one.
+func TestReusedHasherMatchesNewHasher(t *testing.T) {
 	h := NewHasher()
 	rapid.Check(t, func(t *rapid.T) {
-		c := hashedContent(rapid.IntRange(1, 12).Draw(t, "routes"))
+		c := contentWithRoutes(rapid.IntRange(1, 12).Draw(t, "routes"))
 		for i := range c.Routes {
 			c.Routes[i].MaxAttempts = rapid.IntRange(0, 2).Draw(t, "attempts")
 		}
-		remembered, err := h.Tree(c)
+		cached, err := h.Tree(c)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -114,47 +115,47 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if remembered.Root() != fresh.Root() {
+		if cached.Root() != fresh.Root() {
 			t.Fatal("digests differ")
 		}
 		for _, scope := range []string{ScopeAll, "", "g"} {
-			proof, found := remembered.Proof(scope)
+			proof, found := cached.Proof(scope)
 			if found && h.Check(proof, scope, c.Scope(scope), fresh.Root()) != nil {
-				t.Fatalf("scope %q does not check", scope)
+				t.Fatalf("proof of scope %q is not valid", scope)
 			}
 		}
 	})
 }
 
-// Logs and disks may hold bundles from before items had digests of their own.
-func TestEarlierDigestsStillHold(t *testing.T) {
+// Guards against the rejection of stored bundles whose digests have the legacy format.
+func TestLegacyDigestsAreAccepted(t *testing.T) {
 	is := is.New(t)
-	c := hashedContent(7)
-	earlier, err := newTree(c, wholeLeaf)
+	c := contentWithRoutes(7)
+	legacy, err := newTree(c, legacyLeaf)
 	is.NoErr(err)
 	h := NewHasher()
-	tree, err := h.TreeFor(c, earlier.Root())
+	tree, err := h.TreeFor(c, legacy.Root())
 	is.NoErr(err)
 	for _, scope := range []string{ScopeAll, "", "g"} {
 		proof, found := tree.Proof(scope)
 		is.True(found)
-		is.NoErr(h.Check(proof, scope, c.Scope(scope), earlier.Root()))
+		is.NoErr(h.Check(proof, scope, c.Scope(scope), legacy.Root()))
 	}
 	c.Routes[0].Service = "b"
-	_, err = h.TreeFor(c, earlier.Root())
+	_, err = h.TreeFor(c, legacy.Root())
 	is.True(errors.Is(err, ErrDigest))
 }
 
-func TestHasherForgetsWhatIsGone(t *testing.T) {
+func TestHasherPrunesUnusedDigests(t *testing.T) {
 	is := is.New(t)
 	h := NewHasher()
 	for round := range 20 {
-		c := hashedContent(100)
+		c := contentWithRoutes(100)
 		for i := range c.Routes {
 			c.Routes[i].Name = fmt.Sprintf("round-%d-%d", round, i)
 		}
 		_, err := h.Tree(c.Normalized())
 		is.NoErr(err)
-		is.True(len(h.routes.held) <= 2*100+memoSlack+100)
+		is.True(len(h.routes.entries) <= 2*100+cacheSlack+100)
 	}
 }
--- a/pkg/bundle/parse.go
+++ b/pkg/bundle/parse.go
@@ -8,11 +8,11 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// MaxFileBytes bounds a bundle file.
+// MaxFileBytes is the maximum size of a bundle file.
 const MaxFileBytes = 16 << 20
 
-// Parse reads a bundle file in TOML. Unknown keys and wrong types are errors that
-// name file, line and key. The result is normalized but not validated.
+// Parse decodes a bundle file in TOML. Unknown keys and wrong types are errors, which contain the
+// file name, line and key. The result is normalized but not validated.
 func Parse(name string, text []byte) (Content, error) {
 	if len(text) > MaxFileBytes {
 		return Content{}, fmt.Errorf("%s: %d bytes, at most %d are allowed", name, len(text), MaxFileBytes)
@@ -24,7 +24,8 @@
 	return content.Normalized(), nil
 }
 
-// DecodeTOML decodes strictly, with errors that name file, line and key.
+// DecodeTOML decodes TOML into target and rejects unknown keys. Errors contain the file name, line and
+// key.
 func DecodeTOML(name string, text []byte, target any) error {
 	decoder := toml.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
@@ -36,17 +37,17 @@
 	if errors.As(err, &unknown) && len(unknown.Errors) > 0 {
 		first := unknown.Errors[0]
 		line, _ := first.Position()
-		return fmt.Errorf("%s:%d: unknown key %q", name, line, keyText(first.Key()))
+		return fmt.Errorf("%s:%d: unknown key %q", name, line, formatKey(first.Key()))
 	}
 	var decode *toml.DecodeError
 	if errors.As(err, &decode) {
 		line, _ := decode.Position()
-		return fmt.Errorf("%s:%d: key %q: %s", name, line, keyText(decode.Key()), decode.Error())
+		return fmt.Errorf("%s:%d: key %q: %s", name, line, formatKey(decode.Key()), decode.Error())
 	}
 	return fmt.Errorf("%s: %w", name, err)
 }
 
-func keyText(key toml.Key) string {
+func formatKey(key toml.Key) string {
 	var text string
 	for i, part := range key {
 		if i > 0 {
--- a/pkg/bundle/source.go
+++ b/pkg/bundle/source.go
@@ -6,20 +6,21 @@
 	"fmt"
 )
 
-// sourceSeparator ends a piece of a source document. Operators' documents are lists of
-// objects, so that a change touches few pieces.
+// sourceSeparator is the last byte of each piece of a source document. Source documents are lists of
+// JSON objects, of which a change affects few.
 const sourceSeparator = '{'
 
-// ErrSourcePatch: a patch does not fit its base.
+// ErrSourcePatch: a patch refers to pieces that its base does not have.
 var ErrSourcePatch = errors.New("source patch does not fit")
 
-// SourcePatch turns one source document into another: the document that an operator sent
-// goes to every replica, and two in a row are nearly equal.
+// SourcePatch is the difference between two source documents. Source documents are replicated as
+// patches, because consecutive ones differ little.
 type SourcePatch struct {
 	Pieces []SourcePiece `json:"pieces,omitempty"`
 }
 
-// SourcePiece is either text of its own or a run of the base's pieces.
+// SourcePiece is either new text, if Count is zero, or a range of Count pieces of the base from index
+// First on.
 type SourcePiece struct {
 	Text  []byte `json:"text,omitempty"`
 	First int    `json:"first,omitempty"`
@@ -35,18 +36,19 @@
 	var patch SourcePatch
 	expected := 0
 	for _, piece := range splitSource(next) {
-		at, found := nearest(positions[string(piece)], expected)
+		index, found := nearest(positions[string(piece)], expected)
 		if !found {
 			patch.addText(piece)
 			continue
 		}
-		patch.addRun(at)
-		expected = at + 1
+		patch.addBasePiece(index)
+		expected = index + 1
 	}
 	return patch
 }
 
-// nearest returns the first position from expected on, or else the first of all.
+// nearest returns the first position at or after expected. If there is none it returns the first
+// position, and false if positions is empty.
 func nearest(positions []int, expected int) (int, bool) {
 	for _, position := range positions {
 		if position >= expected {
@@ -59,6 +61,7 @@
 	return 0, false
 }
 
+// addText appends new text, to the last piece if that is text.
 func (p *SourcePatch) addText(text []byte) {
 	if last := len(p.Pieces) - 1; last >= 0 && p.Pieces[last].Count == 0 {
 		p.Pieces[last].Text = append(p.Pieces[last].Text, text...)
@@ -67,15 +70,17 @@
 	p.Pieces = append(p.Pieces, SourcePiece{Text: bytes.Clone(text)})
 }
 
-func (p *SourcePatch) addRun(at int) {
-	if last := len(p.Pieces) - 1; last >= 0 && p.Pieces[last].Count > 0 && p.Pieces[last].First+p.Pieces[last].Count == at {
+// addBasePiece appends a piece of the base, to the last range if that ends there.
+func (p *SourcePatch) addBasePiece(index int) {
+	if last := len(p.Pieces) - 1; last >= 0 && p.Pieces[last].Count > 0 && p.Pieces[last].First+p.Pieces[last].Count == index {
 		p.Pieces[last].Count++
 		return
 	}
-	p.Pieces = append(p.Pieces, SourcePiece{First: at, Count: 1})
+	p.Pieces = append(p.Pieces, SourcePiece{First: index, Count: 1})
 }
 
-// Apply returns the document that the patch makes of base.
+// Apply returns the document that results from the patch. The error wraps ErrSourcePatch if base lacks
+// pieces that the patch refers to.
 func (p SourcePatch) Apply(base []byte) ([]byte, error) {
 	pieces := splitSource(base)
 	var next []byte
@@ -95,7 +100,7 @@
 	return next, nil
 }
 
-// splitSource cuts a document behind each separator.
+// splitSource splits a document after each separator.
 func splitSource(text []byte) [][]byte {
 	var pieces [][]byte
 	for len(text) > 0 {
--- a/pkg/bundle/source_test.go
+++ b/pkg/bundle/source_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestSourcePatchBringsBackEveryByte(t *testing.T) {
+func TestSourcePatchRoundTrips(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.StringOfN(rapid.RuneFrom([]rune("{}ab,")), 0, 80, -1)
 		base, next := []byte(text.Draw(t, "base")), []byte(text.Draw(t, "next"))
--- a/pkg/bundle/tenant.go
+++ b/pkg/bundle/tenant.go
@@ -8,46 +8,47 @@
 const (
 	maxTenants       = 20000
 	maxKeysPerTenant = 100
-	// MaxKeyLength is how many bytes a tenant's key may have. A longer one is unknown whatever it says, so
-	// that nobody makes a node hash much.
+	// MaxKeyLength is the maximum length of a tenant's key in bytes. Longer keys are treated as unknown
+	// without hashing them, so that callers cannot cause expensive hashing.
 	MaxKeyLength = 256
 	maxQuota     = 1e9
 )
 
-// Tenant is a customer whose calls are told from others' by a key.
+// Tenant is a customer, identified by the key in its calls.
 type Tenant struct {
 	Name string `toml:"name" json:"name"`
-	// Keys are the digests of the tenant's keys, sorted: nodes need no more to know a key again. See
-	// DigestKey for what that assumes of keys.
+	// Keys are the sorted digests of the tenant's keys, as returned by DigestKey.
 	Keys []Digest `toml:"key_digests,omitempty" json:"keys,omitempty"`
-	// Rate is how many calls a second all nodes together let in, zero for no limit; Burst is how many more
-	// may come at once.
+	// Rate is the maximum rate of calls that all nodes together admit, in calls per second, zero for no
+	// limit. Burst is the number of calls that they may admit beyond it at once.
 	Rate  float64 `toml:"rate,omitempty" json:"rate,omitempty"`
 	Burst float64 `toml:"burst,omitempty" json:"burst,omitempty"`
-	// Priority ranks the tenant's calls before the routes' own priorities do; 0 goes first.
+	// Priority orders the calls of different tenants, before the priorities of routes do; 0 is the highest
+	// priority.
 	Priority int `toml:"priority,omitempty" json:"priority,omitempty"`
-	// Regions are the only ones whose back ends may take the tenant's calls; empty means all.
+	// Regions restricts the tenant's calls to back ends in these regions; empty allows all.
 	Regions []string `toml:"regions,omitempty" json:"regions,omitempty"`
 }
 
-// DigestKey returns what a bundle holds of a key. It is a plain SHA-256 of the key, so that any node can
-// work it out from a call alone. That tells nothing of a key only if keys are drawn at random and long
-// enough not to be guessed, as keys of machines are; it is no way to keep passwords.
+// DigestKey returns the digest of a key that bundles contain, a plain SHA-256 without salt, so that a
+// node can compute it from a call. It protects only long random keys, as used by machines, and is not
+// suitable for passwords.
 func DigestKey(key string) Digest { return sha256.Sum256([]byte(key)) }
 
+// equal reports whether all fields of two tenants are equal.
 func (t *Tenant) equal(o *Tenant) bool {
 	return t.Name == o.Name && slices.Equal(t.Keys, o.Keys) && t.Rate == o.Rate && t.Burst == o.Burst &&
 		t.Priority == o.Priority && slices.Equal(t.Regions, o.Regions)
 }
 
-// clone returns a copy that shares no list.
+// clone returns a deep copy.
 func (t *Tenant) clone() Tenant {
 	c := *t
 	c.Keys, c.Regions = slices.Clone(t.Keys), slices.Clone(t.Regions)
 	return c
 }
 
-// isNormalized reports whether the lists are sorted and hold each key once.
+// isNormalized reports whether the lists are sorted and the keys have no duplicates.
 func (t *Tenant) isNormalized() bool {
 	for i := 1; i < len(t.Keys); i++ {
 		if compareDigests(t.Keys[i-1], t.Keys[i]) >= 0 {
@@ -57,7 +58,7 @@
 	return slices.IsSorted(t.Regions)
 }
 
-// normalize sorts the lists, in copies, and leaves each key once.
+// normalize replaces the lists by sorted copies and removes duplicate keys.
 func (t *Tenant) normalize() {
 	t.Keys = slices.Compact(slices.SortedFunc(slices.Values(t.Keys), compareDigests))
 	t.Regions = slices.Sorted(slices.Values(t.Regions))
@@ -67,10 +68,10 @@
 
 func tenantName(t Tenant) string { return t.Name }
 
-// Tenant returns the named tenant.
+// Tenant returns the tenant with the given name, and false if there is none.
 func (c Content) Tenant(name string) (Tenant, bool) { return findByName(c.Tenants, name, tenantName) }
 
-// checkTenants checks the tenants, and that no key belongs to two of them.
+// checkTenants checks the fields of the tenants, and that no key belongs to two tenants.
 func (v *validator) checkTenants(tenants []Tenant) {
 	owner := make(map[Digest]string, len(tenants))
 	for i, tenant := range tenants {
@@ -95,7 +96,7 @@
 	}
 }
 
-// checkRegionNames checks the names of regions that a resource is bound to.
+// checkRegionNames checks the names of the regions that a resource is restricted to.
 func (v *validator) checkRegionNames(kind, name string, regions []string) {
 	for _, region := range regions {
 		if !ValidName(region) {
--- a/pkg/bundle/tenant_test.go
+++ b/pkg/bundle/tenant_test.go
@@ -16,7 +16,7 @@
 	}.Normalized()
 }
 
-func TestTenantsAreChecked(t *testing.T) {
+func TestValidateRejectsInvalidTenants(t *testing.T) {
 	is := is.New(t)
 	key := func(keys ...string) (digests []Digest) {
 		for _, k := range keys {
@@ -25,10 +25,10 @@
 		return digests
 	}
 	is.NoErr(withTenants(Tenant{Name: "a", Keys: key("1", "2"), Rate: 10, Burst: 5}, Tenant{Name: "b", Keys: key("3")}, Tenant{Name: "c"}).Validate())
-	is.NoErr(withTenants(Tenant{Name: "a", Keys: key("1", "1")}).Validate()) // the same key twice is one key
-	for what, c := range map[string]struct {
-		tenants []Tenant
-		word    string
+	is.NoErr(withTenants(Tenant{Name: "a", Keys: key("1", "1")}).Validate()) // duplicate keys of one tenant are merged
+	for name, c := range map[string]struct {
+		tenants  []Tenant
+		wantText string
 	}{
 		"a shared key":        {[]Tenant{{Name: "a", Keys: key("1")}, {Name: "b", Keys: key("2", "1")}}, `which tenant "a" has`},
 		"a tenant twice":      {[]Tenant{{Name: "a"}, {Name: "a"}}, "named twice"},
@@ -42,21 +42,21 @@
 	} {
 		err := withTenants(c.tenants...).Validate()
 		var invalid *ValidationError
-		is.True(errors.As(err, &invalid)) // what
-		if err == nil || !strings.Contains(err.Error(), c.word) {
-			t.Errorf("%s: %v", what, err)
+		is.True(errors.As(err, &invalid))
+		if err == nil || !strings.Contains(err.Error(), c.wantText) {
+			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
-func TestTenantsOfUnknownRegionsAreRefused(t *testing.T) {
+func TestTenantsWithUnknownRegionsAreRejected(t *testing.T) {
 	is := is.New(t)
 	content := withTenants(Tenant{Name: "a", Regions: []string{"west"}})
 	is.NoErr(content.CheckRegions([]string{"west", "east"}))
 	is.True(content.CheckRegions([]string{"east"}) != nil)
 }
 
-// Every node gets all tenants, and a delta brings what changed of them.
+// Every scope must contain all tenants, and a delta only the changed ones.
 func TestTenantsAreDistributed(t *testing.T) {
 	is := is.New(t)
 	old := withTenants(Tenant{Name: "a", Keys: []Digest{DigestKey("1")}}, Tenant{Name: "b"})
@@ -65,22 +65,23 @@
 	is.Equal(delta.Items(), 3)
 	is.Equal(old.Apply(delta), next)
 	is.Equal(next.Scope("some group").Tenants, next.Tenants)
-	is.Equal(old.Tenants[0].Keys, []Digest{DigestKey("1")}) // the earlier one stays as it was
+	is.Equal(old.Tenants[0].Keys, []Digest{DigestKey("1")}) // Apply did not modify the old content
 }
 
-// A content without tenants has the digest that earlier programs compute, and one with some another.
-func TestDigestsWithoutTenantsStay(t *testing.T) {
+// Guards against an incompatible digest of contents without tenants: replicas of earlier releases would
+// reject them.
+func TestDigestWithoutTenantsIsCompatible(t *testing.T) {
 	is := is.New(t)
 	plain, err := NewTree(withTenants())
 	is.NoErr(err)
 	is.Equal(plain.Root().Short(), "1a1ac06cb845")
-	some, err := NewTree(withTenants(Tenant{Name: "a"}))
+	withOne, err := NewTree(withTenants(Tenant{Name: "a"}))
 	is.NoErr(err)
-	is.True(some.Root() != plain.Root())
+	is.True(withOne.Root() != plain.Root())
 }
 
-// No form in which a content is kept or shown holds a key.
-func TestContentsHoldNoKeys(t *testing.T) {
+// Guards against tenants' keys in stored or displayed contents, which must contain digests only.
+func TestEncodedContentContainsNoTenantKey(t *testing.T) {
 	is := is.New(t)
 	const key = "x42q492cqf75rjvz48wu"
 	text, err := json.Marshal(withTenants(Tenant{Name: "a", Keys: []Digest{DigestKey(key)}}))
--- a/pkg/bundle/validate.go
+++ b/pkg/bundle/validate.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Bounds on a bundle.
+// Limits on the size of a bundle and on the values in it.
 const (
 	maxNameLength   = 200
 	maxRoutes       = 20000
@@ -20,22 +20,22 @@
 	maxWeight       = 1_000_000
 )
 
-// Problem is one reason why a content cannot be distributed.
+// Problem is one validation error of a content.
 type Problem struct {
-	// Resource is the kind and name of the faulty resource, like `route "orders"`.
+	// Resource is the kind and name of the invalid resource, such as `route "orders"`.
 	Resource string `json:"resource"`
 	Detail   string `json:"detail"`
 }
 
-// String returns the problem in one line.
+// String returns the resource and the detail in one line.
 func (p Problem) String() string { return p.Resource + ": " + p.Detail }
 
-// ValidationError lists every problem of a content.
+// ValidationError contains all problems that a validation found.
 type ValidationError struct {
 	Problems []Problem
 }
 
-// Error lists the problems.
+// Error returns all problems in one line.
 func (e *ValidationError) Error() string {
 	lines := make([]string, len(e.Problems))
 	for i, problem := range e.Problems {
@@ -44,7 +44,7 @@
 	return "invalid bundle: " + strings.Join(lines, "; ")
 }
 
-// validator collects problems.
+// validator collects the problems that its checks find.
 type validator struct {
 	problems []Problem
 }
@@ -56,8 +56,8 @@
 	})
 }
 
-// Validate checks a normalized content whole: names, bounds, and that every route
-// resolves to a service and a secret in it. The error is a *ValidationError.
+// Validate checks a normalized content: names, limits, and that all services and secrets that routes
+// refer to exist in it. The error is a *ValidationError with all problems.
 func (c Content) Validate() error {
 	v := &validator{}
 	v.checkCounts(c)
@@ -72,8 +72,8 @@
 	return nil
 }
 
-// CheckRegions checks that routes and tenants name known regions only; with none known any will do. The error is
-// a *ValidationError.
+// CheckRegions checks that routes and tenants refer to known regions only. If known is empty, all regions
+// are allowed. The error is a *ValidationError.
 func (c Content) CheckRegions(known []string) error {
 	if len(known) == 0 {
 		return nil
@@ -99,8 +99,8 @@
 	}
 }
 
-// Consistent reports the first dangling reference. It is the last check before a
-// node puts a content in force.
+// Consistent checks that all services and secrets that routes refer to exist in the content. Holders
+// call it before they activate a content. The error is a *ValidationError.
 func (c Content) Consistent() error {
 	v := &validator{}
 	for _, route := range c.Routes {
@@ -127,9 +127,9 @@
 	}
 }
 
-func (v *validator) checkCount(what string, count, limit int) {
+func (v *validator) checkCount(resource string, count, limit int) {
 	if count > limit {
-		v.add("bundle", what, "%d of them, at most %d are allowed", count, limit)
+		v.add("bundle", resource, "%d of them, at most %d are allowed", count, limit)
 	}
 }
 
@@ -186,14 +186,14 @@
 				v.add("route", route.Name, "source %q is not a usable node group", group)
 			}
 		}
-		v.checkHandling(route)
+		v.checkCallPolicy(route)
 		v.checkReferences(c, route)
 	}
-	v.checkPlaces(c.Routes)
+	v.checkDuplicateMatches(c.Routes)
 }
 
-// checkHandling checks how a route's calls are to be treated.
-func (v *validator) checkHandling(route Route) {
+// checkCallPolicy checks the fields of a route that control how its calls are handled.
+func (v *validator) checkCallPolicy(route Route) {
 	if !route.Kind.Known() {
 		v.add("route", route.Name, "kind %q is none of safe, unsafe, upload and download", route.Kind)
 	}
@@ -226,22 +226,22 @@
 	}
 }
 
-// place is what a route matches: two routes of one place would exclude each other.
-type place struct{ host, prefix, source string }
+// matchKey identifies the calls that a route matches from one source. Two routes must not have the same.
+type matchKey struct{ host, prefix, source string }
 
-func (v *validator) checkPlaces(routes []Route) {
-	taken := make(map[place]string, len(routes))
+func (v *validator) checkDuplicateMatches(routes []Route) {
+	owners := make(map[matchKey]string, len(routes))
 	for _, route := range routes {
 		sources := route.Sources
 		if len(sources) == 0 {
 			sources = []string{""}
 		}
 		for _, source := range sources {
-			key := place{host: strings.ToLower(route.Host), prefix: route.PathPrefix, source: source}
-			if other, found := taken[key]; found && other != route.Name {
+			key := matchKey{host: strings.ToLower(route.Host), prefix: route.PathPrefix, source: source}
+			if other, found := owners[key]; found && other != route.Name {
 				v.add("route", route.Name, "host and path_prefix are those of route %q", other)
 			}
-			taken[key] = route.Name
+			owners[key] = route.Name
 		}
 	}
 }
