--- a/pkg/version/version.go
+++ b/pkg/version/version.go
@@ -1,17 +1,18 @@
-// Package version names the build.
+// Package version identifies the build of a program.
 package version
 
-// Number is the released version this tree leads to.
+// Number is the release version of this source tree, without the commit.
 const Number = "0.1.0"
 
-// unknownRevision stands for a build that was not told its commit.
+// unknownRevision is the revision of builds without the linker flag that sets it.
 const unknownRevision = "unknown"
 
-// revision is set by the linker; see the Makefile.
+// revision is set at link time with -ldflags -X; see the Makefile. The flag refers to this name.
 var revision = unknownRevision
 
-// Revision returns the commit of the build, with "+" if the tree was changed.
+// Revision returns the commit of the build, with the suffix "+" if the tree had uncommitted changes, or
+// "unknown".
 func Revision() string { return revision }
 
-// String returns the number with the commit.
+// String returns Number and the commit of the build, separated by "+".
 func String() string { return Number + "+" + revision }
