--- a/pkg/catalog/catalog.go
+++ b/pkg/catalog/catalog.go
@@ -322,19 +322,19 @@
 func (c *Catalog) pruneVersions() {
 	numbers := slices.Sorted(maps.Keys(c.Versions))
 	items := 0
-	for newer := range numbers {
-		number := numbers[len(numbers)-1-newer]
-		old := c.Versions[number]
-		if old.Content != nil {
-			items += old.Content.Items()
+	for newerCount := range numbers {
+		number := numbers[len(numbers)-1-newerCount]
+		version := c.Versions[number]
+		if version.Content != nil {
+			items += version.Content.Items()
 		}
-		if old.Status != StatusSuperseded {
+		if version.Status != StatusSuperseded {
 			continue
 		}
-		if newer >= maxKeptContents || (newer >= minKeptContents && items > maxKeptItems) {
-			old.Content = nil
+		if newerCount >= maxKeptContents || (newerCount >= minKeptContents && items > maxKeptItems) {
+			version.Content = nil
 		}
-		if newer >= maxKeptVersions {
+		if newerCount >= maxKeptVersions {
 			delete(c.Versions, number)
 		}
 	}
--- a/pkg/catalog/orders_test.go
+++ b/pkg/catalog/orders_test.go
@@ -43,13 +43,13 @@
 		edit(&c)
 		return c
 	}
-	hints := change(func(c *bundle.Content) { c.Services[0].HealthPath = "/healthz" })
-	regions := change(func(c *bundle.Content) { c.Routes[0].Regions = []string{"east"} })
+	withHealthPath := change(func(c *bundle.Content) { c.Services[0].HealthPath = "/healthz" })
+	withRegions := change(func(c *bundle.Content) { c.Routes[0].Regions = []string{"east"} })
 	for _, test := range []struct {
 		content bundle.Content
 		level   Level
 	}{
-		{plain, LevelBase}, {hints, LevelOrders}, {regions, LevelOrders},
+		{plain, LevelBase}, {withHealthPath, LevelOrders}, {withRegions, LevelOrders},
 		{change(func(c *bundle.Content) { c.Services[0].ColdRate = 3 }), LevelOrders},
 		{change(func(c *bundle.Content) { c.Services[0].ColdStart = 3 }), LevelOrders},
 		{change(func(c *bundle.Content) { c.Routes[0].Kind = bundle.KindDownload }), LevelOrders},
@@ -64,10 +64,10 @@
 	is.Equal(Command{Suspects: &quarantine.Change{}}.Level(), LevelSuspects)
 	is.Equal(Command{Endpoints: &Endpoints{}}.Level(), LevelBase)
 
-	is.Equal(WithoutHints(hints, LevelSuspects), plain)
-	is.Equal(hints.Services[0].HealthPath, "/healthz") // the argument is not modified
-	is.Equal(WithoutHints(hints, LevelOrders), hints)
-	is.Equal(WithoutHints(regions, LevelSuspects), regions) // calls must not be served without them
+	is.Equal(WithoutHints(withHealthPath, LevelSuspects), plain)
+	is.Equal(withHealthPath.Services[0].HealthPath, "/healthz") // the argument is not modified
+	is.Equal(WithoutHints(withHealthPath, LevelOrders), withHealthPath)
+	is.Equal(WithoutHints(withRegions, LevelSuspects), withRegions) // calls must not be served without them
 }
 
 // Guards against content fields that are added without a level: replicas of an earlier release would drop
--- a/pkg/distribution/endpoint.go
+++ b/pkg/distribution/endpoint.go
@@ -61,7 +61,8 @@
 	return e.State > old.State
 }
 
-// hash returns a hash of the fields that holders use.
+// hash returns a hash of all fields except Modified, which nodes do not have, and Version, which is
+// constant within an incarnation.
 func (e Endpoint) hash() uint64 {
 	var buffer []byte
 	for _, text := range []string{e.Service, e.ID, e.Address, e.Zone, e.Gate} {
