--- a/pkg/control/announce.go
+++ b/pkg/control/announce.go
@@ -10,60 +10,59 @@
 )
 
 const (
-	// announceTimeout bounds the commit of announced back ends; they are announced again.
-	announceTimeout = 2 * time.Second
-	// announceSpacing is between two commits of announced back ends. Each commit costs a
-	// message to every replica and every node, however little it brings: when hundreds of
-	// back ends start or are replaced, what comes within this time goes in one. It is short
-	// beside the seconds in which a new back end must get calls; a back end that leaves gets
-	// nothing new from the moment its gate knows, whatever the list says.
-	announceSpacing = 100 * time.Millisecond
+	// backgroundProposalTimeout bounds a proposal that no operator waits for. A proposal that times out
+	// is repeated: nodes resend their announcements, and the judges look again.
+	backgroundProposalTimeout = 2 * time.Second
+	// announceBatchInterval is the minimum time between two commits of announced endpoints. Each commit
+	// sends a message to every replica and every node, so announcements that arrive within the
+	// interval are committed together.
+	announceBatchInterval = 100 * time.Millisecond
 )
 
-// takeAnnounced takes in what nodes announce.
-func (s *Server) takeAnnounced(announced protocol.Announce) {
+// handleAnnounce dispatches the parts of an announcement from a node or another replica.
+func (s *Server) handleAnnounce(announced protocol.Announce) {
 	if len(announced.Endpoints) > 0 {
-		s.takeAnnouncements(announced.Endpoints)
+		s.enqueueEndpoints(announced.Endpoints)
 	}
 	if announced.Evidence != nil && !announced.Evidence.Empty() {
-		s.takeEvidence(*announced.Evidence)
+		s.enqueueEvidence(*announced.Evidence)
 	}
 	if len(announced.Rollouts) > 0 {
-		s.takeRollouts(announced.Rollouts)
+		s.enqueueRolloutReports(announced.Rollouts)
 	}
-	s.noteEarlier(announced.Earlier)
-	s.quotas.take(announced)
+	s.recordSubscriberLevel(announced.Earlier)
+	s.quotas.receive(announced)
 }
 
-// takeAnnouncements takes in back ends that nodes announce. They come again until the
-// state shows them, so that one too many may be dropped.
-func (s *Server) takeAnnouncements(endpoints []distribution.Endpoint) {
+// enqueueEndpoints queues announced endpoints for the proposer and drops them if the queue is full:
+// nodes repeat an announcement until the state contains it.
+func (s *Server) enqueueEndpoints(endpoints []distribution.Endpoint) {
 	select {
-	case s.announced <- endpoints:
+	case s.endpointQueue <- endpoints:
 	default:
 	}
 }
 
-// proposeAnnounced has announced back ends agreed on, here or at the leader. One that comes
-// alone goes on at once; what comes soon after another is gathered.
-func (s *Server) proposeAnnounced(ctx context.Context) {
+// runEndpointProposer proposes announced endpoints in batches, or forwards them to the leader. The
+// first announcement after an idle interval is proposed at once.
+func (s *Server) runEndpointProposer(ctx context.Context) {
 	var next time.Time
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case endpoints := <-s.announced:
-			endpoints = gather(ctx, endpoints, s.announced, time.Until(next))
-			s.proposeNews(ctx, newestAnnounced(endpoints))
-			next = time.Now().Add(announceSpacing)
+		case endpoints := <-s.endpointQueue:
+			endpoints = collectBatch(ctx, endpoints, s.endpointQueue, time.Until(next))
+			s.proposeNewEndpoints(ctx, dropSuperseded(endpoints))
+			next = time.Now().Add(announceBatchInterval)
 		}
 	}
 }
 
-// gather adds to a list what else comes within a time, or is there already.
-func gather[T any](ctx context.Context, list []T, more <-chan []T, within time.Duration) []T {
+// collectBatch returns list with everything received within wait, or queued by then.
+func collectBatch[T any](ctx context.Context, list []T, more <-chan []T, wait time.Duration) []T {
 	list = slices.Clone(list)
-	timer := time.NewTimer(max(0, within))
+	timer := time.NewTimer(max(0, wait))
 	defer timer.Stop()
 	for {
 		select {
@@ -72,13 +71,13 @@
 		case next := <-more:
 			list = append(list, next...)
 		case <-timer.C:
-			return append(list, queued(more)...)
+			return append(list, dequeueAll(more)...)
 		}
 	}
 }
 
-// queued returns what a channel holds at the moment.
-func queued[T any](from <-chan []T) []T {
+// dequeueAll returns everything in a channel's buffer without blocking.
+func dequeueAll[T any](from <-chan []T) []T {
 	var list []T
 	for {
 		select {
@@ -90,9 +89,9 @@
 	}
 }
 
-// newestAnnounced leaves out what a later announcement of the list makes void: an earlier one
-// of the same back end, and one of another back end that was live at the same gate.
-func newestAnnounced(list []distribution.Endpoint) []distribution.Endpoint {
+// dropSuperseded removes an endpoint if a later entry supersedes it: a newer state of the same back
+// end, or another live back end at the same gate.
+func dropSuperseded(list []distribution.Endpoint) []distribution.Endpoint {
 	var kept []distribution.Endpoint
 	for _, endpoint := range list {
 		kept = slices.DeleteFunc(kept, func(earlier distribution.Endpoint) bool {
@@ -105,22 +104,23 @@
 	return kept
 }
 
-// proposeNews proposes what of the announcements is news.
-func (s *Server) proposeNews(ctx context.Context, endpoints []distribution.Endpoint) {
-	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
+// proposeNewEndpoints proposes the endpoints that change the state if this replica leads, and forwards
+// them to the leader otherwise.
+func (s *Server) proposeNewEndpoints(ctx context.Context, endpoints []distribution.Endpoint) {
+	ctx, cancel := context.WithTimeout(ctx, backgroundProposalTimeout)
 	defer cancel()
-	var news []distribution.Endpoint
+	var changes []distribution.Endpoint
 	leading := false
-	err := s.inspect(ctx, func(now time.Duration) {
+	err := s.runOnLoop(ctx, func(now time.Duration) {
 		node := s.replica.Node()
 		leading = node.LeaseValid(now)
-		news = s.replica.State().Endpoints.News(endpoints)
-		if !leading && node.Leader() != node.ID() && len(news) > 0 {
-			s.peers.announce(node.Leader(), protocol.Announce{Endpoints: news})
+		changes = s.replica.State().Endpoints.News(endpoints)
+		if !leading && node.Leader() != node.ID() && len(changes) > 0 {
+			s.peers.announce(node.Leader(), protocol.Announce{Endpoints: changes})
 		}
 	})
-	if err != nil || !leading || len(news) == 0 {
+	if err != nil || !leading || len(changes) == 0 {
 		return
 	}
-	s.proposeEndpoints(ctx, news)
+	s.proposeEndpoints(ctx, changes)
 }
--- a/pkg/control/doc.go
+++ b/pkg/control/doc.go
@@ -1,9 +1,8 @@
-// Package control is the control replica as a daemon: the shell of sockets, clock and
-// disk around the decision cores in packages replica, stream and platform.
+// Package control runs a control replica as a daemon. It provides sockets, the clock and the disk to
+// the deterministic packages replica and stream.
 //
-// One goroutine, the driver, owns the replica. Everything else talks to it through
-// channels: peers bring consensus messages, operators' calls bring commands and reads,
-// the platform poller brings endpoint changes. Each turn of the driver takes what is
-// waiting, flushes the replica once, and only then lets messages, answers and the new
-// state out.
+// One goroutine, the event loop, owns the replica. Other goroutines reach it through channels: peers
+// deliver consensus messages, operators' requests deliver commands and reads, and the platform poller
+// delivers endpoint changes. Each iteration of the loop drains its inputs, flushes the replica once,
+// and only then releases messages, results and the new state.
 package control
--- a/pkg/control/evacuations.go
+++ b/pkg/control/evacuations.go
@@ -14,15 +14,15 @@
 	"bramblelift/pkg/orders"
 )
 
-// States of back ends, for metrics.
+// Values of the metrics label state.
 const (
 	stateServing   = "serving"
 	stateEvacuated = "evacuated"
 	stateLeaving   = "leaving"
 )
 
-// Evacuate has it agreed on that a zone's back ends get nothing new. Taken again it changes nothing. The
-// error is a *catalog.OperationError.
+// Evacuate commits the order that a zone's back ends receive no new calls. It is idempotent. The error is
+// a *catalog.OperationError.
 func (s *Server) Evacuate(ctx context.Context, zone string) (catalog.Result, error) {
 	if err := s.checkZone(ctx, zone); err != nil {
 		return catalog.Result{}, err
@@ -30,7 +30,7 @@
 	return s.Order(ctx, orders.Change{Evacuate: &orders.Evacuation{Zone: zone, AtMillis: time.Now().UnixMilli()}})
 }
 
-// Readmit takes an evacuation back. Taken again it changes nothing. The error is a
+// Readmit commits the end of a zone's evacuation. It is idempotent. The error is a
 // *catalog.OperationError.
 func (s *Server) Readmit(ctx context.Context, zone string) (catalog.Result, error) {
 	if err := s.checkZone(ctx, zone); err != nil {
@@ -39,23 +39,23 @@
 	return s.Order(ctx, orders.Change{Readmit: zone})
 }
 
-// checkZone refuses a zone that the deployment does not have. One that is evacuated is known, whatever
-// the settings say by now: its order was taken, and must be taken back some day.
+// checkZone rejects a zone that is neither in the settings nor evacuated. An evacuated zone that was
+// removed from the settings stays valid, so that its evacuation can end.
 func (s *Server) checkZone(ctx context.Context, zone string) error {
 	if !bundle.ValidName(zone) {
-		return refuse(catalog.CodeInvalidRequest, "zone %q is not a usable name", zone)
+		return newOperationError(catalog.CodeInvalidRequest, "zone %q is not a usable name", zone)
 	}
 	if _, known := s.settings.Zones[zone]; known || len(s.settings.Zones) == 0 {
 		return nil
 	}
 	evacuated := false
-	err := s.inspect(ctx, func(time.Duration) { evacuated = s.replica.State().Orders.Evacuated(zone) })
+	err := s.runOnLoop(ctx, func(time.Duration) { evacuated = s.replica.State().Orders.Evacuated(zone) })
 	if err != nil {
-		return refuse(catalog.CodeUnavailable, "replica did not answer: %v", err)
+		return newOperationError(catalog.CodeUnavailable, "replica did not answer: %v", err)
 	}
 	if !evacuated {
 		s.logger.Log("event", "order_refused", "zone", zone, "reason", "unknown zone")
-		return refuse(catalog.CodeUnknownZone, "the deployment has no zone %q", zone)
+		return newOperationError(catalog.CodeUnknownZone, "the deployment has no zone %q", zone)
 	}
 	return nil
 }
@@ -67,20 +67,20 @@
 			order = s.Evacuate
 		}
 		result, err := order(r.Context(), zone)
-		answer(w, operator.OrderResult{Zone: zone, Evacuated: evacuate, Revision: result.Revision}, err)
+		writeResponse(w, operator.OrderResult{Zone: zone, Evacuated: evacuate, Revision: result.Revision}, err)
 	}
 }
 
 func (s *Server) handleZones(w http.ResponseWriter, r *http.Request) {
 	list := operator.ZoneList{Zones: []operator.Zone{}}
-	err := s.readLeased(r.Context(), func(time.Duration) {
-		list.Zones = append(list.Zones, zonesOf(s.replica.State(), s.settings.Zones)...)
+	err := s.readWithLease(r.Context(), func(time.Duration) {
+		list.Zones = append(list.Zones, describeZones(s.replica.State(), s.settings.Zones)...)
 	})
-	answer(w, list, err)
+	writeResponse(w, list, err)
 }
 
-// zonesOf describes the zones of the settings and those that the state names.
-func zonesOf(state *distribution.State, regions map[string]string) []operator.Zone {
+// describeZones returns the zones of the settings and of the state, sorted by name.
+func describeZones(state *distribution.State, regions map[string]string) []operator.Zone {
 	zones := map[string]*operator.Zone{}
 	zoneOf := func(name string) *operator.Zone {
 		if zones[name] == nil {
@@ -95,8 +95,8 @@
 		zone := zoneOf(order.Zone)
 		zone.Evacuated, zone.EvacuatedMillis = true, order.AtMillis
 	}
-	for _, held := range state.Endpoints {
-		for _, endpoint := range held {
+	for _, endpoints := range state.Endpoints {
+		for _, endpoint := range endpoints {
 			switch endpoint.State {
 			case distribution.Live:
 				zoneOf(endpoint.Zone).Backends++
@@ -113,10 +113,10 @@
 	return all
 }
 
-// countBackends counts the back ends by state. One that leaves an evacuated zone leaves.
+// countBackends counts back ends by state. A leaving back end of an evacuated zone counts as leaving.
 func countBackends(state *distribution.State) map[string]int {
 	count := map[string]int{}
-	for _, zone := range zonesOf(state, nil) {
+	for _, zone := range describeZones(state, nil) {
 		count[stateLeaving] += zone.Leaving
 		if zone.Evacuated {
 			count[stateEvacuated] += zone.Backends
--- a/pkg/control/evacuations_test.go
+++ b/pkg/control/evacuations_test.go
@@ -16,7 +16,7 @@
 
 func TestZonesAreEvacuatedByOperators(t *testing.T) {
 	is := is.New(t)
-	server := startSingle(t)
+	server := startSingleReplica(t)
 	server.settings.Zones = map[string]string{"a": "east", "b": "east"}
 	client := operator.NewClient([]string{server.admin.Address()})
 	order := func(method, zone string) (operator.OrderResult, error) {
@@ -28,21 +28,21 @@
 		result, err := order(http.MethodPost, "a")
 		is.NoErr(err)
 		is.True(result.Evacuated)
-		is.True(heldOrders(t, server).Evacuated("a"))
+		is.True(currentOrders(t, server).Evacuated("a"))
 	}
-	refusedAs := func(err error, code catalog.Code) {
+	requireCode := func(err error, code catalog.Code) {
 		t.Helper()
 		var refused *catalog.OperationError
 		is.True(errors.As(err, &refused))
 		is.Equal(refused.Code, code)
 	}
 	_, err := order(http.MethodPost, "zzz")
-	refusedAs(err, catalog.CodeUnknownZone)
+	requireCode(err, catalog.CodeUnknownZone)
 	_, err = order(http.MethodDelete, "zzz")
-	refusedAs(err, catalog.CodeUnknownZone)
+	requireCode(err, catalog.CodeUnknownZone)
 	_, err = order(http.MethodPost, "a%0Ab")
-	refusedAs(err, catalog.CodeInvalidRequest)
-	is.Equal(len(heldOrders(t, server).Evacuations), 1)
+	requireCode(err, catalog.CodeInvalidRequest)
+	is.Equal(len(currentOrders(t, server).Evacuations), 1)
 
 	var list operator.ZoneList
 	is.NoErr(client.Do(context.Background(), http.MethodGet, operator.PathZones, nil, &list))
@@ -51,17 +51,17 @@
 	is.True(list.Zones[0].Evacuated && list.Zones[0].EvacuatedMillis > 0)
 	is.True(!list.Zones[1].Evacuated)
 
-	// Settings that do not name it any more leave the order where it can be taken back.
+	// The evacuation of a zone that was removed from the settings can still end.
 	server.settings.Zones = map[string]string{"b": "east"}
 	_, err = order(http.MethodPost, "a")
 	is.NoErr(err)
 	_, err = order(http.MethodDelete, "a")
 	is.NoErr(err)
 	_, err = order(http.MethodDelete, "a")
-	refusedAs(err, catalog.CodeUnknownZone)
-	is.True(!heldOrders(t, server).Evacuated("a"))
+	requireCode(err, catalog.CodeUnknownZone)
+	is.True(!currentOrders(t, server).Evacuated("a"))
 
-	// Where the settings tell no zones, any usable name is one.
+	// Without zones in the settings, any valid name is accepted.
 	server.settings.Zones = nil
 	_, err = order(http.MethodPost, "zzz")
 	is.NoErr(err)
@@ -75,7 +75,7 @@
 	})
 	state = state.ChangeOrders(orders.Change{Evacuate: &orders.Evacuation{Zone: "a"}})
 	is.Equal(countBackends(state), map[string]int{stateServing: 2, stateEvacuated: 1, stateLeaving: 1})
-	zones := zonesOf(state, map[string]string{"c": "west"})
+	zones := describeZones(state, map[string]string{"c": "west"})
 	is.Equal(len(zones), 3)
 	is.Equal(zones[2], operator.Zone{Name: "c", Region: "west"})
 }
--- a/pkg/control/level.go
+++ b/pkg/control/level.go
@@ -9,45 +9,44 @@
 	"bramblelift/pkg/protocol"
 )
 
-// levelTable knows which log entries the programs of other replicas know. The zero value is empty.
-type levelTable struct {
+// replicaLevelTable holds the level of log entries that each other replica supports. The zero value is empty.
+type replicaLevelTable struct {
 	mu sync.Mutex
-	// lower are the levels below this program's own, by the replica's address. A replica that was not
-	// heard of yet is taken for one of this program: a lost machine must not keep the others from
-	// taking orders.
-	lower map[string]catalog.Level
+	// outdated holds the levels below this program's own, by replica address. A replica without an entry
+	// is assumed to support all levels, so that one that is down doesn't block orders.
+	outdated map[string]catalog.Level
 }
 
-// note takes in a replica's level and reports whether that is news.
-func (t *levelTable) note(address string, level catalog.Level) bool {
+// record stores a replica's level and reports whether it changed.
+func (t *replicaLevelTable) record(address string, level catalog.Level) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	held, found := t.lower[address]
+	previous, found := t.outdated[address]
 	switch {
 	case level >= catalog.NewestLevel:
-		delete(t.lower, address)
+		delete(t.outdated, address)
 		return found
-	case t.lower == nil:
-		t.lower = map[string]catalog.Level{}
+	case t.outdated == nil:
+		t.outdated = map[string]catalog.Level{}
 	}
-	t.lower[address] = level
-	return !found || held != level
+	t.outdated[address] = level
+	return !found || previous != level
 }
 
-// least returns the least level among replicas.
-func (t *levelTable) least(addresses []string) catalog.Level {
+// lowest returns the lowest level of the replicas with the given addresses.
+func (t *replicaLevelTable) lowest(addresses []string) catalog.Level {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	least := catalog.NewestLevel
+	lowest := catalog.NewestLevel
 	for _, address := range addresses {
-		if level, found := t.lower[address]; found {
-			least = min(least, level)
+		if level, found := t.outdated[address]; found {
+			lowest = min(lowest, level)
 		}
 	}
-	return least
+	return lowest
 }
 
-// levelOf returns the level that a replica's hello tells.
+// levelOf returns the level in a replica's hello; KnowsSuspects implies at least LevelSuspects.
 func levelOf(hello protocol.Hello) catalog.Level {
 	if hello.Level == catalog.LevelBase && hello.KnowsSuspects {
 		return catalog.LevelSuspects
@@ -55,97 +54,98 @@
 	return hello.Level
 }
 
-// noteLevel takes in which log entries another replica's program knows.
-func (s *Server) noteLevel(hello protocol.Hello) {
+// recordReplicaLevel stores and logs the level of log entries that another replica supports.
+func (s *Server) recordReplicaLevel(hello protocol.Hello) {
 	level := levelOf(hello)
-	if s.levels.note(hello.Address, level) {
+	if s.replicaLevels.record(hello.Address, level) {
 		s.logger.Log("event", "replica_level", "replica", hello.Address, "level", int(level), "own_level", int(catalog.NewestLevel))
 	}
 }
 
-// commonLevel returns the least level of the members. It runs in the driver's goroutine.
-func (s *Server) commonLevel() catalog.Level {
+// minMemberLevel returns the lowest level of the members. It runs on the event loop.
+func (s *Server) minMemberLevel() catalog.Level {
 	var addresses []string
 	for _, member := range s.replica.Node().Membership().Members {
 		addresses = append(addresses, member.Address)
 	}
-	return s.levels.least(addresses)
+	return s.replicaLevels.lowest(addresses)
 }
 
-// contentLevel returns the least level of the members and of all nodes that a replica hears: a node that
-// cannot read a content whole takes none of it. It runs in the driver's goroutine.
-func (s *Server) contentLevel() catalog.Level {
-	return min(s.commonLevel(), s.nodes.least(), s.subscribers.least(s.clock.Elapsed()))
+// minContentLevel returns the lowest level of the members and of the nodes subscribed to any replica: a
+// node rejects a content that it can't read completely. It runs on the event loop.
+func (s *Server) minContentLevel() catalog.Level {
+	return min(s.minMemberLevel(), s.nodes.lowest(), s.remoteSubscribers.lowest(s.clock.Elapsed()))
 }
 
-// checkLevel refuses a command that some member does not know, or some node cannot read. It runs in the
-// driver's goroutine.
+// checkLevel rejects a command that some member can't apply or some node can't read. It runs on the
+// event loop.
 func (s *Server) checkLevel(command catalog.Command) error {
-	common := s.commonLevel()
+	supported := s.minMemberLevel()
 	if command.Create != nil || command.Publish != nil {
-		common = s.contentLevel()
+		supported = s.minContentLevel()
 	}
-	if command.Level() <= common {
+	if command.Level() <= supported {
 		return nil
 	}
-	s.logger.Log("event", "command_refused", "reason", "a replica or a node runs an earlier release", "level", int(command.Level()), "common_level", int(common))
-	return refuse(catalog.CodeUnavailable, "a replica or a node runs an earlier release, which does not know this (level %d, it knows %d): upgrade it first",
-		command.Level(), common)
+	s.logger.Log("event", "command_refused", "reason", "a replica or a node runs an earlier release", "level", int(command.Level()), "common_level", int(supported))
+	return newOperationError(catalog.CodeUnavailable, "a replica or a node runs an earlier release, which does not know this (level %d, it knows %d): upgrade it first",
+		command.Level(), supported)
 }
 
 const (
-	// subscriberLevelCheck is how soon a replica tells the others that nodes of an earlier release have come
-	// to it, and subscriberLevelInterval how often it repeats that. It does so during an upgrade only.
-	subscriberLevelCheck    = 100 * time.Millisecond
-	subscriberLevelInterval = time.Second
-	// subscriberLevelMemory is for how long a replica goes by that: some messages may be lost.
-	subscriberLevelMemory = 4 * subscriberLevelInterval
+	// subscriberLevelCheckInterval is the delay until a replica reports new subscribers of an earlier
+	// release to the other replicas, subscriberLevelRepeat the interval at which it repeats the report.
+	subscriberLevelCheckInterval = 100 * time.Millisecond
+	subscriberLevelRepeat        = time.Second
+	// subscriberLevelTTL is how long a report stays valid; it covers the loss of several messages.
+	subscriberLevelTTL = 4 * subscriberLevelRepeat
 )
 
-// subscriberLevel is the least level of other replicas' subscribers. The zero value knows none.
-type subscriberLevel struct {
-	mu    sync.Mutex
-	heard map[catalog.Level]time.Duration
+// subscriberLevels holds when each level was last reported for subscribers of other replicas. The zero
+// value is empty.
+type subscriberLevels struct {
+	mu         sync.Mutex
+	reportedAt map[catalog.Level]time.Duration
 }
 
-// note takes in what a replica tells.
-func (l *subscriberLevel) note(level catalog.Level, now time.Duration) {
+// refresh stores the time of a report for a level.
+func (l *subscriberLevels) refresh(level catalog.Level, now time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.heard == nil {
-		l.heard = map[catalog.Level]time.Duration{}
+	if l.reportedAt == nil {
+		l.reportedAt = map[catalog.Level]time.Duration{}
 	}
-	l.heard[level] = now
+	l.reportedAt[level] = now
 }
 
-// least returns the least level that was told of lately.
-func (l *subscriberLevel) least(now time.Duration) catalog.Level {
+// lowest returns the lowest level reported within subscriberLevelTTL.
+func (l *subscriberLevels) lowest(now time.Duration) catalog.Level {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	least := catalog.NewestLevel
-	for level, at := range l.heard {
-		if now-at <= subscriberLevelMemory {
-			least = min(least, level)
+	lowest := catalog.NewestLevel
+	for level, at := range l.reportedAt {
+		if now-at <= subscriberLevelTTL {
+			lowest = min(lowest, level)
 		} else {
-			delete(l.heard, level)
+			delete(l.reportedAt, level)
 		}
 	}
-	return least
+	return lowest
 }
 
-// noteEarlier takes in what another replica tells of its subscribers, nil for nothing.
-func (s *Server) noteEarlier(earlier *protocol.EarlierSubscribers) {
+// recordSubscriberLevel stores another replica's report about its subscribers; nil reports nothing.
+func (s *Server) recordSubscriberLevel(earlier *protocol.EarlierSubscribers) {
 	if earlier != nil {
-		s.subscribers.note(earlier.Level, s.clock.Elapsed())
+		s.remoteSubscribers.refresh(earlier.Level, s.clock.Elapsed())
 	}
 }
 
-// tellSubscriberLevel tells the other replicas that nodes of an earlier release come to this one, for as
-// long as any does. All are told: whoever leads next must know when it takes its first publication.
-func (s *Server) tellSubscriberLevel(ctx context.Context) {
-	ticker := time.NewTicker(subscriberLevelCheck)
+// broadcastSubscriberLevel reports subscribers of an earlier release to all other replicas while there are
+// any. All replicas need the report, since any of them may become the leader.
+func (s *Server) broadcastSubscriberLevel(ctx context.Context) {
+	ticker := time.NewTicker(subscriberLevelCheckInterval)
 	defer ticker.Stop()
-	var told protocol.EarlierSubscribers
+	var sent protocol.EarlierSubscribers
 	var next time.Time
 	for {
 		select {
@@ -153,12 +153,12 @@
 			return
 		case <-ticker.C:
 		}
-		earlier := s.nodes.earlier()
-		if earlier == nil || (*earlier == told && time.Now().Before(next)) {
+		earlier := s.nodes.earlierSubscribers()
+		if earlier == nil || (*earlier == sent && time.Now().Before(next)) {
 			continue
 		}
-		told, next = *earlier, time.Now().Add(subscriberLevelInterval)
-		err := s.inspect(ctx, func(time.Duration) { s.peers.announceToAll(protocol.Announce{Earlier: earlier}) })
+		sent, next = *earlier, time.Now().Add(subscriberLevelRepeat)
+		err := s.runOnLoop(ctx, func(time.Duration) { s.peers.announceToAll(protocol.Announce{Earlier: earlier}) })
 		if err != nil && ctx.Err() == nil {
 			s.logger.Log("event", "subscriber_level_not_told", "level", int(earlier.Level), "error", err)
 		}
--- a/pkg/control/membership.go
+++ b/pkg/control/membership.go
@@ -17,21 +17,20 @@
 
 const (
 	joinInterval = 250 * time.Millisecond
-	// createRetry is the pause before an empty folder is tried again on a disk that
-	// takes no writes.
-	createRetry = 200 * time.Millisecond
+	// createRetryPause is the pause between attempts to create the state while the disk rejects writes.
+	createRetryPause = 200 * time.Millisecond
 )
 
-// knownMembership is the membership as the goroutines besides the driver see it.
-type knownMembership struct {
+// membershipView is the membership as read by goroutines other than the event loop.
+type membershipView struct {
 	members []raft.Member
 	servers []protocol.Server
 	leader  raft.Member
 	leading bool
 }
 
-// memberName is the replica's name in the membership: with seeds its address, which is all
-// that the first replicas know of each other.
+// memberName returns the replica's name in the membership. With seeds it is the replica's address,
+// because the initial members know only each other's addresses.
 func memberName(config settings.Control) string {
 	if len(config.Seeds) > 0 {
 		return config.Advertise
@@ -39,7 +38,7 @@
 	return config.Name
 }
 
-// ownAddress is where the other replicas reach this one.
+// ownAddress returns the address at which other replicas reach this one.
 func ownAddress(config settings.Control) string {
 	for _, peer := range config.Replicas {
 		if peer.Name == config.Name {
@@ -49,8 +48,8 @@
 	return config.Advertise
 }
 
-// founders returns the members of a new cluster.
-func founders(config settings.Control) []raft.Member {
+// initialMembers returns the members of a new cluster.
+func initialMembers(config settings.Control) []raft.Member {
 	var all []raft.Member
 	for _, peer := range config.Replicas {
 		all = append(all, raft.Member{Name: peer.Name, Address: peer.Address, Zone: peer.Zone})
@@ -63,84 +62,83 @@
 	return all
 }
 
-// createState makes the state of a replica whose folder is empty. A disk without room is
-// waited for: a process that ends and starts again would not help.
+// createState creates the state in an empty data folder. It retries while the disk rejects writes,
+// because a restart of the process would not help.
 func (s *Server) createState(files storage.FileSystem) error {
-	founding := s.settings.Found && slices.Contains(s.settings.SeedAddresses(), s.settings.Advertise)
-	s.logger.Log("event", "empty_data_folder", "founding", founding)
+	bootstrap := s.settings.Found && slices.Contains(s.settings.SeedAddresses(), s.settings.Advertise)
+	s.logger.Log("event", "empty_data_folder", "founding", bootstrap)
 	for {
 		var err error
-		if founding {
-			err = replica.CreateFirst(files, s.settings.Cluster, memberName(s.settings), founders(s.settings))
+		if bootstrap {
+			err = replica.CreateFirst(files, s.settings.Cluster, memberName(s.settings), initialMembers(s.settings))
 		} else {
 			err = replica.CreateJoining(files, s.settings.Cluster, memberName(s.settings), replica.NewReplicaID())
 		}
 		if !errors.Is(err, storage.ErrNoRoom) {
 			return err
 		}
-		time.Sleep(createRetry)
+		time.Sleep(createRetryPause)
 	}
 }
 
-// noteMembership lets the other goroutines see the membership in force.
-func (s *Server) noteMembership() {
+// refreshMembershipView publishes the current membership to the other goroutines and logs changes.
+func (s *Server) refreshMembershipView() {
 	node := s.replica.Node()
 	members := node.Membership().Members
 	leader, _ := node.Membership().Find(node.Leader())
 	leading := node.Role() == raft.Leader
-	before := s.known.Load()
+	before := s.membership.Load()
 	if before != nil && before.leader == leader && before.leading == leading && slices.Equal(before.members, members) {
 		return
 	}
-	next := &knownMembership{members: slices.Clone(members), leader: leader, leading: leading}
+	next := &membershipView{members: slices.Clone(members), leader: leader, leading: leading}
 	for _, member := range members {
 		if !member.Learner {
 			next.servers = append(next.servers, protocol.Server{Address: member.Address, Zone: member.Zone})
 		}
 	}
-	s.known.Store(next)
+	s.membership.Store(next)
 	if before != nil && !slices.Equal(before.members, members) {
 		s.logger.Log("event", "membership", "members", len(members), "voters", len(next.servers), "commit", node.Commit())
 	}
 }
 
-// SetSeeds takes the replicas to start from out of newer settings.
+// SetSeeds replaces the seed addresses after the settings were reloaded.
 func (s *Server) SetSeeds(addresses []string) { s.seeds.Store(&addresses) }
 
-// servers lists the replicas that nodes may subscribe to.
+// servers returns the voting replicas that nodes may subscribe to, or nil without seeds.
 func (s *Server) servers() []protocol.Server {
-	if known := s.known.Load(); known != nil && len(s.settings.Seeds) > 0 {
+	if known := s.membership.Load(); known != nil && len(s.settings.Seeds) > 0 {
 		return known.servers
 	}
 	return nil
 }
 
-// keepJoining asks the other replicas for membership for as long as this one does not
-// vote, is described otherwise than it is, or hears from no leader: it may have been
-// removed while it was cut off.
-func (p *peerSet) keepJoining() {
-	for p.context.Err() == nil {
+// runJoinLoop requests membership from the other replicas while this one isn't a voter, is recorded with
+// outdated attributes, or hears from no leader, since it may have been removed during a partition.
+func (p *peerSet) runJoinLoop() {
+	for p.ctx.Err() == nil {
 		var member raft.Member
-		var asked []string
-		err := p.server.inspect(p.context, func(now time.Duration) {
+		var targets []string
+		err := p.server.runOnLoop(p.ctx, func(now time.Duration) {
 			member = p.server.joinRequest(now)
-			asked = p.server.otherReplicas()
+			targets = p.server.otherReplicas()
 		})
 		if err != nil {
 			return
 		}
 		if member.ID != 0 {
-			p.askToJoin(member, asked)
+			p.sendJoinRequests(member, targets)
 		}
 		select {
-		case <-p.context.Done():
+		case <-p.ctx.Done():
 		case <-time.After(joinInterval):
 		}
 	}
 }
 
-// joinRequest returns what to ask for, or the zero member if there is nothing. It runs in
-// the driver's goroutine.
+// joinRequest returns the membership to request, or the zero member if none is needed. It runs on the
+// event loop.
 func (s *Server) joinRequest(now time.Duration) raft.Member {
 	node := s.replica.Node()
 	wanted := raft.Member{
@@ -155,7 +153,7 @@
 		return raft.Member{}
 	}
 	if member != wanted {
-		// The leader takes its own request in at once.
+		// If this replica leads, it handles its own request directly.
 		s.replica.Join(now, wanted)
 		return wanted
 	}
@@ -165,19 +163,19 @@
 	return raft.Member{}
 }
 
-// takeJoin takes a request in, and sends it on to the leader unless that was done already.
-// It runs in the driver's goroutine.
-func (s *Server) takeJoin(join protocol.Join) {
+// handleJoin applies a join request and forwards it to the leader unless it was forwarded already.
+// It runs on the event loop.
+func (s *Server) handleJoin(join protocol.Join) {
 	s.replica.Join(s.clock.Elapsed(), join.Member)
 	node := s.replica.Node()
 	if leader := node.Leader(); !join.Forwarded && leader != 0 && leader != node.ID() {
 		join.Forwarded = true
-		s.peers.queue(leader, protocolFrame{kind: protocol.KindJoin, value: join})
+		s.peers.queue(leader, outboundFrame{kind: protocol.KindJoin, value: join})
 	}
 }
 
-// otherReplicas returns the addresses of all replicas known from wherever. It runs in the
-// driver's goroutine.
+// otherReplicas returns the addresses of the other replicas from seeds, settings and membership. It runs
+// on the event loop.
 func (s *Server) otherReplicas() []string {
 	addresses := slices.Clone(*s.seeds.Load())
 	for _, peer := range s.settings.Replicas {
@@ -191,8 +189,8 @@
 	return slices.DeleteFunc(addresses, func(address string) bool { return address == ownAddress(s.settings) })
 }
 
-// askToJoin tells all at once: one that does not answer must not hold up the rest.
-func (p *peerSet) askToJoin(member raft.Member, addresses []string) {
+// sendJoinRequests sends the request to all addresses in parallel, so that an unresponsive one delays no other.
+func (p *peerSet) sendJoinRequests(member raft.Member, addresses []string) {
 	var group sync.WaitGroup
 	for _, address := range addresses {
 		group.Go(func() {
@@ -209,7 +207,7 @@
 	group.Wait()
 }
 
-// openInterface opens the listener of the deployment's interface.
+// openInterface opens the listener of the platform interface, if one is configured.
 func (s *Server) openInterface() error {
 	if s.settings.InterfaceListen == "" || s.newInterface == nil {
 		return nil
@@ -219,17 +217,17 @@
 	return err
 }
 
-// LeaderInterface returns where the leader answers the deployment's interface, as far as
-// it is known here, and whether that is this replica.
+// LeaderInterface returns the address of the leader's platform interface, empty if unknown, and
+// whether this replica is the leader.
 func (s *Server) LeaderInterface() (address string, self bool) {
-	known := s.known.Load()
+	known := s.membership.Load()
 	if known == nil {
 		return "", false
 	}
 	return known.leader.Interface, known.leading
 }
 
-// serveInterface answers the deployment's interface until the context ends.
+// serveInterface serves the platform interface until the context ends.
 func (s *Server) serveInterface(ctx context.Context) {
 	if s.interfaceListener == nil {
 		return
--- a/pkg/control/nodes.go
+++ b/pkg/control/nodes.go
@@ -11,15 +11,15 @@
 	"bramblelift/pkg/protocol"
 )
 
-// forgetNodesAfter is how long a node that is gone is still listed.
-const forgetNodesAfter = 10 * time.Minute
+// disconnectedNodeTTL is how long a disconnected node stays listed.
+const disconnectedNodeTTL = 10 * time.Minute
 
-// nodeRegistry keeps what this replica last heard of each node. It is an opinion, not
-// replicated state: operators' clients ask all replicas and take the newest.
+// nodeRegistry holds the latest report about each node that this replica received. It isn't replicated:
+// operators' clients query all replicas and use the newest report.
 type nodeRegistry struct {
 	mu    sync.Mutex
 	nodes map[string]operator.Node
-	// levels are those of the connected nodes that are below this program's own.
+	// levels holds the levels of connected nodes that support less than this program.
 	levels map[string]catalog.Level
 }
 
@@ -27,7 +27,7 @@
 	return &nodeRegistry{nodes: map[string]operator.Node{}, levels: map[string]catalog.Level{}}
 }
 
-func (r *nodeRegistry) take(report protocol.NodeReport, at time.Time) {
+func (r *nodeRegistry) record(report protocol.NodeReport, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if report.Connected && report.Level < catalog.NewestLevel {
@@ -42,30 +42,30 @@
 	}
 }
 
-// least returns the least level among the connected nodes.
-func (r *nodeRegistry) least() catalog.Level {
+// lowest returns the lowest level of the connected nodes.
+func (r *nodeRegistry) lowest() catalog.Level {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.leastLocked()
+	return r.lowestLocked()
 }
 
-// leastLocked is least; the mutex is held.
-func (r *nodeRegistry) leastLocked() catalog.Level {
-	least := catalog.NewestLevel
+// lowestLocked returns the lowest level of the connected nodes. The caller holds mu.
+func (r *nodeRegistry) lowestLocked() catalog.Level {
+	lowest := catalog.NewestLevel
 	for _, level := range r.levels {
-		least = min(least, level)
+		lowest = min(lowest, level)
 	}
-	return least
+	return lowest
 }
 
-// earlier describes the connected nodes of an earlier release, nil if there are none.
-func (r *nodeRegistry) earlier() *protocol.EarlierSubscribers {
+// earlierSubscribers describes the connected nodes of an earlier release, nil if there are none.
+func (r *nodeRegistry) earlierSubscribers() *protocol.EarlierSubscribers {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.levels) == 0 {
 		return nil
 	}
-	return &protocol.EarlierSubscribers{Count: len(r.levels), Level: r.leastLocked()}
+	return &protocol.EarlierSubscribers{Count: len(r.levels), Level: r.lowestLocked()}
 }
 
 func closedGate(closed *protocol.ClosedGate) *operator.ClosedGate {
@@ -80,7 +80,7 @@
 	defer r.mu.Unlock()
 	var nodes []operator.Node
 	for name, node := range r.nodes {
-		if !node.Connected && now.UnixMilli()-node.HeardMillis > forgetNodesAfter.Milliseconds() {
+		if !node.Connected && now.UnixMilli()-node.HeardMillis > disconnectedNodeTTL.Milliseconds() {
 			delete(r.nodes, name)
 			continue
 		}
--- a/pkg/control/orders.go
+++ b/pkg/control/orders.go
@@ -8,24 +8,23 @@
 	"bramblelift/pkg/orders"
 )
 
-// Order has a change of the orders agreed on, and returns once it is committed: it then outlives what a
-// configuration outlives. Taken again it changes nothing. The error is a *catalog.OperationError.
+// Order proposes a change of the orders and returns once it is committed. It is idempotent. The error is
+// a *catalog.OperationError.
 func (s *Server) Order(ctx context.Context, change orders.Change) (catalog.Result, error) {
-	return s.OrderBuilt(ctx, func(*orders.Table) orders.Change { return change })
+	return s.OrderFunc(ctx, func(*orders.Table) orders.Change { return change })
 }
 
-// OrderBuilt is Order for a change that is built from the orders as this replica holds them, in the
-// driver's goroutine. An order goes through the log even if it seems to be in force: one that takes it
-// back may be under way.
-func (s *Server) OrderBuilt(ctx context.Context, build func(held *orders.Table) orders.Change) (catalog.Result, error) {
+// OrderFunc is Order for a change that is built on the event loop from the current orders. The change is
+// always proposed, even if it matches the current state, because a conflicting one may be in flight.
+func (s *Server) OrderFunc(ctx context.Context, build func(current *orders.Table) orders.Change) (catalog.Result, error) {
 	began := time.Now()
 	built := make(chan orders.Change, 1)
-	result, err := s.proposeBuilt(ctx, func() catalog.Command {
+	result, err := s.proposeFunc(ctx, func() catalog.Command {
 		change := build(s.replica.State().Orders)
 		built <- change
 		return catalog.Command{Orders: &change}
 	})
-	// A replica that is too busy may not have got to it.
+	// The channel is empty if the event loop didn't run the function in time.
 	var change orders.Change
 	select {
 	case change = <-built:
--- a/pkg/control/orders_test.go
+++ b/pkg/control/orders_test.go
@@ -20,45 +20,45 @@
 	return orders.Change{Evacuate: &orders.Evacuation{Zone: zone}}
 }
 
-// heldOrders returns the orders of a replica.
-func heldOrders(t *testing.T, server *Server) *orders.Table {
+// currentOrders returns the orders in a replica's state.
+func currentOrders(t *testing.T, server *Server) *orders.Table {
 	t.Helper()
 	var table *orders.Table
-	is.New(t).NoErr(server.inspect(context.Background(), func(time.Duration) { table = server.replica.State().Orders }))
+	is.New(t).NoErr(server.runOnLoop(context.Background(), func(time.Duration) { table = server.replica.State().Orders }))
 	return table
 }
 
-// ownReplicaAddress is that of the only member.
+// ownReplicaAddress returns the address of the only member.
 func ownReplicaAddress(t *testing.T, server *Server) string {
 	t.Helper()
 	var address string
-	is.New(t).NoErr(server.inspect(context.Background(), func(time.Duration) { address = server.replica.Node().Membership().Members[0].Address }))
+	is.New(t).NoErr(server.runOnLoop(context.Background(), func(time.Duration) { address = server.replica.Node().Membership().Members[0].Address }))
 	return address
 }
 
-func TestOrdersAreAgreedOnAndSentAgainChangeNothing(t *testing.T) {
+func TestOrdersAreIdempotent(t *testing.T) {
 	is := is.New(t)
-	server := startSingle(t)
+	server := startSingleReplica(t)
 	first, err := server.Order(context.Background(), evacuate("a"))
 	is.NoErr(err)
-	is.True(heldOrders(t, server).Evacuated("a"))
+	is.True(currentOrders(t, server).Evacuated("a"))
 	again, err := server.Order(context.Background(), evacuate("a"))
 	is.NoErr(err)
 	is.Equal(again.Revision, first.Revision)
 	_, err = server.Order(context.Background(), orders.Change{Readmit: "a"})
 	is.NoErr(err)
-	is.True(!heldOrders(t, server).Evacuated("a"))
+	is.True(!currentOrders(t, server).Evacuated("a"))
 	_, err = server.Order(context.Background(), orders.Change{Readmit: "a"})
 	is.NoErr(err)
 }
 
-// A replica of the earlier release passes over orders and computes other digests of what is new in
-// contents. Hints are left out for its sake; what matters is refused, and can be sent again later.
-func TestNothingAboveTheLeastLevelOfTheMembers(t *testing.T) {
+// A command above a member's level must be rejected until the member is upgraded, except that optional
+// fields of a content are removed for it.
+func TestCommandsAboveAMembersLevelAreRejected(t *testing.T) {
 	is := is.New(t)
-	server := startSingle(t)
+	server := startSingleReplica(t)
 	address := ownReplicaAddress(t, server)
-	server.noteLevel(protocol.Hello{Address: address, KnowsSuspects: true})
+	server.recordReplicaLevel(protocol.Hello{Address: address, KnowsSuspects: true})
 	refused := func(err error) {
 		t.Helper()
 		var refusal *catalog.OperationError
@@ -67,7 +67,7 @@
 	}
 	_, err := server.Order(context.Background(), evacuate("a"))
 	refused(err)
-	is.True(!heldOrders(t, server).Evacuated("a"))
+	is.True(!currentOrders(t, server).Evacuated("a"))
 
 	content := bundle.Content{
 		Services: []bundle.Service{{Name: "s", HealthPath: "/healthz", ColdStart: bundle.Duration(time.Second), ColdRate: 3}},
@@ -82,7 +82,7 @@
 	refused(server.Publish(context.Background(), Publication{Base: 1, Version: 2, Content: content, Source: []byte("2")}))
 	is.Equal(activeService(t, server), bundle.Service{Name: "s"})
 
-	server.noteLevel(protocol.Hello{Address: address, KnowsSuspects: true, Level: catalog.NewestLevel})
+	server.recordReplicaLevel(protocol.Hello{Address: address, KnowsSuspects: true, Level: catalog.NewestLevel})
 	is.NoErr(server.Publish(context.Background(), regions))
 	is.Equal(activeService(t, server), content.Services[0])
 	_, err = server.Order(context.Background(), evacuate("a"))
@@ -92,31 +92,31 @@
 func activeService(t *testing.T, server *Server) bundle.Service {
 	t.Helper()
 	var service bundle.Service
-	is.New(t).NoErr(server.inspect(context.Background(), func(time.Duration) {
+	is.New(t).NoErr(server.runOnLoop(context.Background(), func(time.Duration) {
 		service = server.replica.State().Active.Content.Services[0]
 	}))
 	return service
 }
 
-func TestLevelsOfReplicas(t *testing.T) {
+func TestLowestReplicaLevel(t *testing.T) {
 	is := is.New(t)
-	var table levelTable
-	is.Equal(table.least([]string{"a", "b"}), catalog.NewestLevel)
-	is.True(table.note("a", catalog.LevelSuspects))
-	is.True(!table.note("a", catalog.LevelSuspects))
-	is.True(table.note("b", catalog.LevelBase))
-	is.Equal(table.least([]string{"a", "b"}), catalog.LevelBase)
-	is.Equal(table.least([]string{"a"}), catalog.LevelSuspects) // b is no member
-	is.True(table.note("b", catalog.NewestLevel))
-	is.True(!table.note("b", catalog.NewestLevel+1)) // a later release knows all that this one does
-	is.Equal(table.least([]string{"a", "b"}), catalog.LevelSuspects)
+	var table replicaLevelTable
+	is.Equal(table.lowest([]string{"a", "b"}), catalog.NewestLevel)
+	is.True(table.record("a", catalog.LevelSuspects))
+	is.True(!table.record("a", catalog.LevelSuspects))
+	is.True(table.record("b", catalog.LevelBase))
+	is.Equal(table.lowest([]string{"a", "b"}), catalog.LevelBase)
+	is.Equal(table.lowest([]string{"a"}), catalog.LevelSuspects) // b isn't a member
+	is.True(table.record("b", catalog.NewestLevel))
+	is.True(!table.record("b", catalog.NewestLevel+1)) // a later release supports everything this one does
+	is.Equal(table.lowest([]string{"a", "b"}), catalog.LevelSuspects)
 	is.Equal(levelOf(protocol.Hello{}), catalog.LevelBase)
 	is.Equal(levelOf(protocol.Hello{KnowsSuspects: true}), catalog.LevelSuspects)
 	is.Equal(levelOf(protocol.Hello{KnowsSuspects: true, Level: catalog.LevelOrders}), catalog.LevelOrders)
 }
 
-// overTheWire returns what another replica reads of an announcement: gob leaves out what is zero.
-func overTheWire(t *testing.T, sent protocol.Announce) protocol.Announce {
+// gobRoundTrip returns an announcement as another replica decodes it: gob omits zero values.
+func gobRoundTrip(t *testing.T, sent protocol.Announce) protocol.Announce {
 	t.Helper()
 	var buffer bytes.Buffer
 	var read protocol.Announce
@@ -125,11 +125,11 @@
 	return read
 }
 
-// A node of the earlier release takes none of a content that it cannot read whole, whichever replica it
-// comes to; orders do not wait for it, since gates correct it.
-func TestContentsThatEarlierNodesCanRead(t *testing.T) {
+// A content must be limited to the fields that every subscribed node can read, at any replica. Orders
+// don't depend on the nodes' level.
+func TestContentIsLimitedToTheNodesLevel(t *testing.T) {
 	is := is.New(t)
-	server := startSingle(t)
+	server := startSingleReplica(t)
 	content := bundle.Content{
 		Services: []bundle.Service{{Name: "s", HealthPath: "/healthz"}},
 		Routes:   []bundle.Route{{Name: "r", PathPrefix: "/", Service: "s"}},
@@ -143,19 +143,19 @@
 		return activeService(t, server)
 	}
 	is.Equal(publish(), content.Services[0])
-	server.nodes.take(protocol.NodeReport{Node: "n", Connected: true}, time.Now())
+	server.nodes.record(protocol.NodeReport{Node: "n", Connected: true}, time.Now())
 	is.Equal(publish(), bundle.Service{Name: "s"})
 	_, err := server.Order(context.Background(), evacuate("a"))
 	is.NoErr(err)
-	server.nodes.take(protocol.NodeReport{Node: "n"}, time.Now()) // it is gone
+	server.nodes.record(protocol.NodeReport{Node: "n"}, time.Now()) // it disconnected
 	is.Equal(publish(), content.Services[0])
-	server.nodes.take(protocol.NodeReport{Node: "n", Connected: true, Level: catalog.NewestLevel}, time.Now())
+	server.nodes.record(protocol.NodeReport{Node: "n", Connected: true, Level: catalog.NewestLevel}, time.Now())
 	is.Equal(publish(), content.Services[0])
-	server.takeAnnounced(overTheWire(t, protocol.Announce{Earlier: &protocol.EarlierSubscribers{Count: 1}})) // it is at another replica
+	server.handleAnnounce(gobRoundTrip(t, protocol.Announce{Earlier: &protocol.EarlierSubscribers{Count: 1}})) // another replica has such a subscriber
 	is.Equal(publish(), bundle.Service{Name: "s"})
 
-	var told subscriberLevel
-	told.note(catalog.LevelBase, time.Second)
-	is.Equal(told.least(time.Second+subscriberLevelMemory), catalog.LevelBase)
-	is.Equal(told.least(time.Second+subscriberLevelMemory+1), catalog.NewestLevel)
+	var reported subscriberLevels
+	reported.refresh(catalog.LevelBase, time.Second)
+	is.Equal(reported.lowest(time.Second+subscriberLevelTTL), catalog.LevelBase)
+	is.Equal(reported.lowest(time.Second+subscriberLevelTTL+1), catalog.NewestLevel)
 }
--- a/pkg/control/peers.go
+++ b/pkg/control/peers.go
@@ -14,53 +14,53 @@
 )
 
 const (
-	// peerQueue is how many messages wait for one peer. Beyond it messages are
-	// dropped, which consensus takes for loss on the way.
-	peerQueue        = 256
+	// peerQueueSize bounds the messages queued for one peer. Further messages are dropped, which
+	// consensus tolerates like loss in the network.
+	peerQueueSize    = 256
 	peerDialTimeout  = 500 * time.Millisecond
 	peerRedialPause  = 50 * time.Millisecond
 	replicaIdleLimit = 30 * time.Second
 )
 
-// peerSet sends messages to the other replicas, one connection each way.
+// peerSet sends messages to the other replicas over one outgoing connection for each.
 type peerSet struct {
-	server  *Server
-	context context.Context
-	cancel  context.CancelFunc
-	group   sync.WaitGroup
-	// queues is only used by the driver.
-	queues map[raft.ReplicaID]chan protocolFrame
+	server *Server
+	ctx    context.Context
+	cancel context.CancelFunc
+	group  sync.WaitGroup
+	// queues is owned by the event loop.
+	queues map[raft.ReplicaID]chan outboundFrame
 }
 
-// protocolFrame is one message to a replica.
-type protocolFrame struct {
+// outboundFrame is one message to a replica.
+type outboundFrame struct {
 	kind  wire.Kind
 	value any
 }
 
 func newPeerSet(server *Server) *peerSet {
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &peerSet{server: server, context: ctx, cancel: cancel, queues: map[raft.ReplicaID]chan protocolFrame{}}
-	p.group.Go(func() { p.keepJoining() })
+	p := &peerSet{server: server, ctx: ctx, cancel: cancel, queues: map[raft.ReplicaID]chan outboundFrame{}}
+	p.group.Go(func() { p.runJoinLoop() })
 	return p
 }
 
-// send queues a message; a receiver whose address is unknown gets nothing. It runs in
-// the driver's goroutine.
+// send queues a consensus message, and drops it if the receiver's address is unknown. It runs on the
+// event loop.
 func (p *peerSet) send(m raft.Message) {
-	p.queue(m.To, protocolFrame{kind: protocol.KindRaft, value: protocol.RaftMessage{Message: m}})
+	p.queue(m.To, outboundFrame{kind: protocol.KindRaft, value: protocol.RaftMessage{Message: m}})
 }
 
-func (p *peerSet) queue(to raft.ReplicaID, frame protocolFrame) {
+func (p *peerSet) queue(to raft.ReplicaID, frame outboundFrame) {
 	queue, found := p.queues[to]
 	if !found {
 		address, known := p.server.replica.Address(to)
 		if !known {
 			return
 		}
-		queue = make(chan protocolFrame, peerQueue)
+		queue = make(chan outboundFrame, peerQueueSize)
 		p.queues[to] = queue
-		p.group.Go(func() { p.keepSending(address, queue) })
+		p.group.Go(func() { p.runSender(address, queue) })
 	}
 	select {
 	case queue <- frame:
@@ -73,24 +73,24 @@
 	p.group.Wait()
 }
 
-// keepSending holds one connection to a peer and opens it again when it breaks.
-func (p *peerSet) keepSending(address string, queue <-chan protocolFrame) {
-	for p.context.Err() == nil {
-		err := p.sendAll(address, queue)
-		if p.context.Err() != nil {
+// runSender keeps one connection to a peer and reopens it with a pause after each failure.
+func (p *peerSet) runSender(address string, queue <-chan outboundFrame) {
+	for p.ctx.Err() == nil {
+		err := p.sendQueued(address, queue)
+		if p.ctx.Err() != nil {
 			return
 		}
 		p.server.logger.Log("event", "peer_lost", "peer", address, "error", err)
 		select {
-		case <-p.context.Done():
+		case <-p.ctx.Done():
 		case <-time.After(peerRedialPause):
 		}
-		drain(queue)
+		discardQueued(queue)
 	}
 }
 
-// drain drops what waited while the peer was away: it is out of date.
-func drain(queue <-chan protocolFrame) {
+// discardQueued drops messages that were queued while the peer was unreachable, as they are outdated.
+func discardQueued(queue <-chan outboundFrame) {
 	for {
 		select {
 		case <-queue:
@@ -100,10 +100,10 @@
 	}
 }
 
-// sendAll connects once there is something to send, so that a replica that was replaced
-// costs nothing, and sends until the connection breaks.
-func (p *peerSet) sendAll(address string, queue <-chan protocolFrame) error {
-	frame, open := p.next(queue)
+// sendQueued connects when the first message is queued, so that a replaced replica causes no connection
+// attempts, and sends until the connection fails.
+func (p *peerSet) sendQueued(address string, queue <-chan outboundFrame) error {
+	frame, open := p.nextFrame(queue)
 	if !open {
 		return nil
 	}
@@ -116,23 +116,23 @@
 		if err := conn.Send(frame.kind, frame.value); err != nil {
 			return err
 		}
-		frame, open = p.next(queue)
+		frame, open = p.nextFrame(queue)
 	}
 	return nil
 }
 
-// next waits for a message; it returns false when the process stops.
-func (p *peerSet) next(queue <-chan protocolFrame) (protocolFrame, bool) {
+// nextFrame waits for a message. It returns false once the peer set is closed.
+func (p *peerSet) nextFrame(queue <-chan outboundFrame) (outboundFrame, bool) {
 	select {
-	case <-p.context.Done():
-		return protocolFrame{}, false
+	case <-p.ctx.Done():
+		return outboundFrame{}, false
 	case frame := <-queue:
 		return frame, true
 	}
 }
 
 func (p *peerSet) dial(address string) (*wire.Conn, error) {
-	raw, err := wire.Dial(p.context, address, peerDialTimeout)
+	raw, err := wire.Dial(p.ctx, address, peerDialTimeout)
 	if err != nil {
 		return nil, fmt.Errorf("dial replica %s: %w", address, err)
 	}
@@ -146,17 +146,17 @@
 		conn.Close()
 		return nil, err
 	}
-	// A replica that was just started and leads at once must know it, too.
-	p.server.noteEarlier(welcome.Earlier)
+	// A replica that restarted and becomes the leader needs the level of the others' subscribers.
+	p.server.recordSubscriberLevel(welcome.Earlier)
 	return conn, nil
 }
 
-// announce queues what nodes announced for the leader. It runs in the driver's goroutine.
+// announce queues an announcement for the leader. It runs on the event loop.
 func (p *peerSet) announce(leader raft.ReplicaID, announced protocol.Announce) {
-	p.queue(leader, protocolFrame{kind: protocol.KindAnnounce, value: announced})
+	p.queue(leader, outboundFrame{kind: protocol.KindAnnounce, value: announced})
 }
 
-// announceToAll queues an announcement for every other member. It runs in the driver's goroutine.
+// announceToAll queues an announcement for every other member. It runs on the event loop.
 func (p *peerSet) announceToAll(announced protocol.Announce) {
 	node := p.server.replica.Node()
 	for _, member := range node.Membership().Members {
@@ -166,10 +166,10 @@
 	}
 }
 
-// serveReplica takes in another replica's messages.
+// serveReplica handles the messages of another replica until the connection fails.
 func (s *Server) serveReplica(ctx context.Context, conn *wire.Conn, hello protocol.Hello) error {
-	s.noteLevel(hello)
-	if err := conn.Send(protocol.KindWelcome, protocol.Welcome{Name: s.settings.Name, Earlier: s.nodes.earlier()}); err != nil {
+	s.recordReplicaLevel(hello)
+	if err := conn.Send(protocol.KindWelcome, protocol.Welcome{Name: s.settings.Name, Earlier: s.nodes.earlierSubscribers()}); err != nil {
 		return err
 	}
 	for {
@@ -183,7 +183,7 @@
 			if err := conn.Decode(&frame); err != nil {
 				return err
 			}
-			if !hand(ctx, s.messages, received{message: frame.Message, address: hello.Address}) {
+			if !sendOrDone(ctx, s.messages, inboundMessage{message: frame.Message, address: hello.Address}) {
 				return ctx.Err()
 			}
 		case protocol.KindJoin:
@@ -191,7 +191,7 @@
 			if err := conn.Decode(&frame); err != nil {
 				return err
 			}
-			if !hand(ctx, s.joins, frame) {
+			if !sendOrDone(ctx, s.joins, frame) {
 				return ctx.Err()
 			}
 		case protocol.KindAnnounce:
@@ -199,14 +199,15 @@
 			if err := conn.Decode(&frame); err != nil {
 				return err
 			}
-			s.takeAnnounced(frame)
+			s.handleAnnounce(frame)
 		default:
-			return fmt.Errorf("from %s: kind %s: %w", conn.Peer(), protocol.KindName(kind), protocol.ErrUnexpected)
+			return fmt.Errorf("replica %s sent a message of kind %s: %w", conn.Peer(), protocol.KindName(kind), protocol.ErrUnexpected)
 		}
 	}
 }
 
-func hand[T any](ctx context.Context, queue chan<- T, value T) bool {
+// sendOrDone sends a value to a channel and reports false if the context ended first.
+func sendOrDone[T any](ctx context.Context, queue chan<- T, value T) bool {
 	select {
 	case queue <- value:
 		return true
--- a/pkg/control/platform.go
+++ b/pkg/control/platform.go
@@ -9,8 +9,8 @@
 	"bramblelift/pkg/machinelist"
 )
 
-// pollPlatform reads the platform's list for as long as this replica leads, so that
-// the list has one reader.
+// pollPlatform polls the platform's machine list while this replica leads, so that only one replica
+// requests it.
 func (s *Server) pollPlatform(ctx context.Context) {
 	if s.settings.PlatformURL == "" {
 		return
@@ -23,32 +23,32 @@
 			return
 		case <-time.After(time.Duration(s.settings.PlatformInterval)):
 		}
-		held, leading := s.heldEndpoints(ctx)
+		current, leading := s.endpointsIfLeading(ctx)
 		if !leading {
 			tracker = &machinelist.Tracker{}
 			continue
 		}
 		list, err := reader.Read(ctx)
-		s.notePlatformError(err)
+		s.recordPlatformError(err)
 		if err != nil {
 			continue
 		}
-		changes := tracker.Changes(held, list)
+		changes := tracker.Changes(current, list)
 		if len(changes) > 0 {
 			s.proposeEndpoints(ctx, changes)
 		}
 	}
 }
 
-// heldEndpoints returns the endpoints if this replica leads and its lease holds.
-func (s *Server) heldEndpoints(ctx context.Context) (distribution.EndpointTable, bool) {
-	var held distribution.EndpointTable
+// endpointsIfLeading returns the endpoints, and whether this replica leads with a valid lease.
+func (s *Server) endpointsIfLeading(ctx context.Context) (distribution.EndpointTable, bool) {
+	var current distribution.EndpointTable
 	leading := false
-	err := s.inspect(ctx, func(now time.Duration) {
+	err := s.runOnLoop(ctx, func(now time.Duration) {
 		leading = s.replica.Node().LeaseValid(now)
-		held = s.replica.State().Endpoints
+		current = s.replica.State().Endpoints
 	})
-	return held, leading && err == nil
+	return current, leading && err == nil
 }
 
 func (s *Server) proposeEndpoints(ctx context.Context, changes []distribution.Endpoint) {
@@ -56,8 +56,8 @@
 	s.logger.Log("event", "endpoints_changed", "changes", len(changes), "revision", result.Revision, "error", err)
 }
 
-// notePlatformError logs when the list becomes unreadable or readable again.
-func (s *Server) notePlatformError(err error) {
+// recordPlatformError stores the latest poll error and logs when the list becomes unreadable or readable.
+func (s *Server) recordPlatformError(err error) {
 	before := s.platformError.Load()
 	if err == nil {
 		if before != nil {
--- a/pkg/control/quotas.go
+++ b/pkg/control/quotas.go
@@ -14,42 +14,42 @@
 )
 
 const (
-	// quotaInterval is between two looks at the limits. A flood is noticed within two of them, and in that time a
-	// tenant that sends seven times its usual has a tenth of its window.
+	// quotaInterval is the period in which limits are reevaluated. A surge is detected within two periods,
+	// in which a tenant at seven times its usual rate uses a tenth of its window.
 	quotaInterval = 100 * time.Millisecond
-	// wholeShares is how many looks go by between two tellings of all shares; those of limited tenants are told at
-	// each look.
-	wholeShares = 5
+	// fullShareTicks is the number of ticks between two full updates of all shares. Updates in between
+	// contain only the shares of tenants that are limited or were at the previous tick.
+	fullShareTicks = 5
 )
 
-// quotas is a replica's part in holding tenants' limits over all nodes together. What nodes report and are told is
-// not in the log: a new leader has heard of it within some tenths of a second, and nodes bear the time without one.
-type quotas struct {
+// quotaCoordinator is a replica's part in enforcing tenants' limits across all nodes. Reports and shares
+// aren't in the log: a new leader rebuilds them within some tenths of a second.
+type quotaCoordinator struct {
 	server  *Server
 	replica *quota.Replica
 	sums    chan quota.Sum
-	// leading allots while this replica leads, nil otherwise; only the look uses it, and what follows.
-	leading *quota.Allocator
-	looks   int
-	// last are the shares that were worked out last.
-	last quota.Shares
-	// version is that of the content that limits are from.
+	// allocator is set while this replica leads. It is owned by the event loop, like the fields below.
+	allocator *quota.Allocator
+	ticks     int
+	// lastShares are the shares of the latest allocation.
+	lastShares quota.Shares
+	// version is the content version that limits were read from.
 	version uint64
 	limits  map[string]quota.Limit
 	limited map[string]bool
 }
 
-func newQuotas(s *Server) *quotas {
+func newQuotaCoordinator(s *Server) *quotaCoordinator {
 	policy := s.settings.Quotas.Policy()
-	return &quotas{server: s, replica: quota.NewReplica(ownAddress(s.settings), policy), sums: make(chan quota.Sum, inboxSize), limited: map[string]bool{}}
+	return &quotaCoordinator{server: s, replica: quota.NewReplica(ownAddress(s.settings), policy), sums: make(chan quota.Sum, inboxSize), limited: map[string]bool{}}
 }
 
-// take takes in what another replica told.
-func (q *quotas) take(announced protocol.Announce) {
+// receive handles the quota parts of another replica's announcement.
+func (q *quotaCoordinator) receive(announced protocol.Announce) {
 	if announced.Sum != nil {
 		select {
 		case q.sums <- *announced.Sum:
-		default: // the next one comes within quotaInterval
+		default: // the next sum follows within quotaInterval
 		}
 	}
 	if announced.Shares != nil {
@@ -57,8 +57,8 @@
 	}
 }
 
-// run looks at the limits until the context ends.
-func (q *quotas) run(ctx context.Context) {
+// run reevaluates the limits periodically until the context ends.
+func (q *quotaCoordinator) run(ctx context.Context) {
 	ticker := time.NewTicker(quotaInterval)
 	defer ticker.Stop()
 	for {
@@ -67,34 +67,35 @@
 			return
 		case <-ticker.C:
 		}
-		if err := q.server.inspect(ctx, q.look); err != nil && ctx.Err() == nil {
+		if err := q.server.runOnLoop(ctx, q.tick); err != nil && ctx.Err() == nil {
 			q.server.logger.Log("event", "quotas_not_looked_at", "error", err)
 		}
 	}
 }
 
-// look tells the leader what this replica's nodes saw, or allots if it leads. It runs in the driver's goroutine.
-func (q *quotas) look(now time.Duration) {
-	q.followContent()
+// tick allocates shares if this replica leads, and sends its nodes' sum to the leader otherwise. It runs
+// on the event loop.
+func (q *quotaCoordinator) tick(now time.Duration) {
+	q.refreshLimits()
 	if len(q.limits) == 0 {
-		q.leading, q.last = nil, quota.Shares{}
+		q.allocator, q.lastShares = nil, quota.Shares{}
 		return
 	}
 	node := q.server.replica.Node()
 	sum := q.replica.Sum(now)
 	if node.LeaseValid(now) {
-		q.allot(now, sum)
+		q.allocate(now, sum)
 		return
 	}
-	q.leading, q.last = nil, quota.Shares{}
+	q.allocator, q.lastShares = nil, quota.Shares{}
 	if node.Leader() != node.ID() {
 		q.server.peers.announce(node.Leader(), protocol.Announce{Sum: &sum})
 	}
 	q.server.hub.PushQuotas(q.replica.Alone(now, q.limits))
 }
 
-// followContent takes the limits from the version in force.
-func (q *quotas) followContent() {
+// refreshLimits reads the limits from the active version if it changed.
+func (q *quotaCoordinator) refreshLimits() {
 	active := q.server.replica.State().Active
 	if active == nil || active.Manifest.Version == q.version {
 		return
@@ -102,34 +103,34 @@
 	q.version, q.limits = active.Manifest.Version, routing.TenantLimits(active.Content.Tenants)
 }
 
-// allot works out the shares and tells them to all replicas.
-func (q *quotas) allot(now time.Duration, own quota.Sum) {
-	if q.leading == nil {
-		q.leading = quota.NewAllocator(now, q.server.settings.Quotas.Policy())
+// allocate computes the shares and sends them to all replicas.
+func (q *quotaCoordinator) allocate(now time.Duration, own quota.Sum) {
+	if q.allocator == nil {
+		q.allocator = quota.NewAllocator(now, q.server.settings.Quotas.Policy())
 	}
-	q.leading.Take(now, own)
-	for waiting := true; waiting; {
+	q.allocator.Take(now, own)
+	for more := true; more; {
 		select {
 		case sum := <-q.sums:
-			q.leading.Take(now, sum)
+			q.allocator.Take(now, sum)
 		default:
-			waiting = false
+			more = false
 		}
 	}
-	shares, known := q.leading.Shares(now, q.limits)
+	shares, known := q.allocator.Shares(now, q.limits)
 	if !known {
 		return
 	}
-	q.logLimited(shares)
-	told := shares
-	if q.looks++; q.looks%wholeShares != 0 {
-		told = shares.News(q.last)
-		told.Partial = true
+	q.logLimitChanges(shares)
+	update := shares
+	if q.ticks++; q.ticks%fullShareTicks != 0 {
+		update = shares.News(q.lastShares)
+		update.Partial = true
 	}
-	q.last = shares
+	q.lastShares = shares
 	node := q.server.replica.Node()
 	for _, member := range node.Membership().Members {
-		own := q.leading.For(member.Address, told)
+		own := q.allocator.For(member.Address, update)
 		if member.ID == node.ID() {
 			q.server.hub.PushQuotas(q.replica.Hear(now, own))
 			continue
@@ -138,16 +139,16 @@
 	}
 }
 
-// logLimited says which tenants became limited, and which are free again.
-func (q *quotas) logLimited(shares quota.Shares) {
+// logLimitChanges logs tenants that became limited or unlimited.
+func (q *quotaCoordinator) logLimitChanges(shares quota.Shares) {
 	for _, share := range shares.List {
 		if share.Limited == q.limited[share.Tenant] {
 			continue
 		}
 		limit := q.limits[share.Tenant]
-		lives, sums := q.leading.Kept()
+		runs, sums := q.allocator.Kept()
 		q.server.logger.Log("event", "tenant_limited", "tenant", share.Tenant, "limited", share.Limited, "rate", limit.Rate, "burst", limit.Burst,
-			"asked", share.Asked, "allotted", share.Rate, "nodes", shares.Nodes, "ended_lives", lives, "kept_sums", sums)
+			"asked", share.Asked, "allotted", share.Rate, "nodes", shares.Nodes, "ended_lives", runs, "kept_sums", sums)
 		if share.Limited {
 			q.limited[share.Tenant] = true
 		} else {
@@ -156,25 +157,25 @@
 	}
 }
 
-// handleTenants shows the tenants as the leader knows them.
+// handleTenants lists the tenants with their use and allocation as the leader knows them.
 func (s *Server) handleTenants(w http.ResponseWriter, r *http.Request) {
 	list := operator.TenantList{Tenants: []operator.Tenant{}, Leader: s.settings.Name}
-	err := s.readLeased(r.Context(), func(now time.Duration) {
+	err := s.readWithLease(r.Context(), func(now time.Duration) {
 		active := s.replica.State().Active
 		if active == nil {
 			return
 		}
 		uses := map[string]quota.Use{}
-		if s.quotas.leading != nil {
-			uses = s.quotas.leading.Uses(now)
+		if s.quotas.allocator != nil {
+			uses = s.quotas.allocator.Uses(now)
 		}
-		list.Nodes = s.quotas.last.Nodes
+		list.Nodes = s.quotas.lastShares.Nodes
 		for _, tenant := range active.Content.Tenants {
 			described := operator.Tenant{
 				Name: tenant.Name, Keys: len(tenant.Keys), Rate: tenant.Rate, Burst: tenant.Burst, Priority: tenant.Priority, Regions: tenant.Regions,
 				Asked: float64(uses[tenant.Name].Asked), Used: float64(uses[tenant.Name].Used),
 			}
-			if share, found := s.quotas.last.Of(tenant.Name); found {
+			if share, found := s.quotas.lastShares.Of(tenant.Name); found {
 				described.Limited, described.Allotted = share.Limited, float64(share.Rate)
 			}
 			list.Tenants = append(list.Tenants, described)
@@ -182,5 +183,5 @@
 	})
 	list.Window = s.settings.Quotas.Policy().Window
 	slices.SortStableFunc(list.Tenants, func(a, b operator.Tenant) int { return cmp.Compare(b.Used, a.Used) })
-	answer(w, list, err)
+	writeResponse(w, list, err)
 }
--- a/pkg/control/rollout.go
+++ b/pkg/control/rollout.go
@@ -17,15 +17,15 @@
 )
 
 const (
-	// rolloutLook is how often the leader judges rollouts under way, and replicas that do not lead pass
-	// on what nodes reported meanwhile.
-	rolloutLook = 250 * time.Millisecond
-	// rolloutIdle is how often a replica looks though it was told of nothing.
-	rolloutIdle = time.Minute
+	// rolloutInterval is the interval at which the leader evaluates active rollouts, and at which other
+	// replicas forward reports from nodes.
+	rolloutInterval = 250 * time.Millisecond
+	// rolloutIdleInterval is the interval of evaluations while no rollout is active.
+	rolloutIdleInterval = time.Minute
 )
 
-// takeRollouts takes in what nodes report of rollouts. They report again soon, so that some may be dropped.
-func (s *Server) takeRollouts(reports []protocol.RolloutReport) {
+// enqueueRolloutReports queues reports and drops them if the queue is full: nodes repeat them.
+func (s *Server) enqueueRolloutReports(reports []protocol.RolloutReport) {
 	select {
 	case s.rolloutReports <- reports:
 	default:
@@ -33,27 +33,28 @@
 	}
 }
 
-// noteRollouts takes in that the state has changed. It runs in the driver's goroutine.
-func (s *Server) noteRollouts() {
+// notifyRollouts records rollout steps of the new state and wakes the controller if a rollout is active. It
+// runs on the event loop.
+func (s *Server) notifyRollouts() {
 	table := s.replica.State().Orders
-	s.rolloutHistory.note(table)
-	if !underWay(table) {
+	s.rolloutHistory.record(table)
+	if !hasActiveRollout(table) {
 		return
 	}
 	select {
-	case s.rolloutSteps <- struct{}{}:
+	case s.rolloutsChanged <- struct{}{}:
 	default:
 	}
 }
 
-func underWay(table *orders.Table) bool {
+func hasActiveRollout(table *orders.Table) bool {
 	return slices.ContainsFunc(table.AllRollouts(), func(r rollout.Rollout) bool { return !r.Phase.Ended() })
 }
 
-// conductRollouts moves rollouts on for as long as this replica leads; any other passes on what it hears
-// to the leader. It sleeps while there are none.
-func (s *Server) conductRollouts(ctx context.Context) {
-	c := &conductor{server: s}
+// runRollouts advances rollouts while this replica leads, and forwards reports to the leader otherwise. It
+// sleeps while no rollout is active.
+func (s *Server) runRollouts(ctx context.Context) {
+	c := &rolloutController{server: s}
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -61,63 +62,63 @@
 		case <-ctx.Done():
 			return
 		case reports := <-s.rolloutReports:
-			c.waiting = protocol.NewestRollouts(c.waiting, reports)
+			c.pendingReports = protocol.NewestRollouts(c.pendingReports, reports)
 			if !c.idle {
 				continue
 			}
-		case <-s.rolloutSteps:
+		case <-s.rolloutsChanged:
 			if !c.idle {
 				continue
 			}
 		case <-timer.C:
 		}
-		wait := rolloutIdle
-		c.idle = !c.turn(ctx)
+		wait := rolloutIdleInterval
+		c.idle = !c.runOnce(ctx)
 		if !c.idle {
-			wait = rolloutLook
+			wait = rolloutInterval
 		}
 		timer.Reset(wait)
 	}
 }
 
-// conductor judges rollouts. Only its goroutine uses it. All that it holds can be lost: reports count from
-// the order on, and what it decided is in the log.
-type conductor struct {
+// rolloutController evaluates rollouts. Only one goroutine uses it. Its state may be lost on a change of
+// leader: reports count from the order on, and decisions are in the log.
+type rolloutController struct {
 	server *Server
-	// waiting are reports that came since the last turn.
-	waiting []protocol.RolloutReport
-	// idle is set while no rollout is under way.
+	// pendingReports were received since the last evaluation.
+	pendingReports []protocol.RolloutReport
+	// idle is set while no rollout is active.
 	idle bool
-	// leading is since when this replica leads, by this goroutine's looks.
-	leading time.Time
-	judges  map[string]*judged
+	// leadingSince is when this goroutine first saw that this replica leads, zero while it doesn't.
+	leadingSince   time.Time
+	activeRollouts map[string]*activeRollout
 }
 
-// judged is one rollout under way.
-type judged struct {
-	number uint64
-	judge  *rollout.Judge
-	heard  map[string]heardNode
+// activeRollout is the evaluation state of one active rollout.
+type activeRollout struct {
+	number  uint64
+	judge   *rollout.Judge
+	reports map[string]nodeReport
 }
 
-// heardNode is what one node reported last.
-type heardNode struct {
+// nodeReport is a node's latest report with its time of receipt.
+type nodeReport struct {
 	protocol.RolloutReport
 	at time.Time
 }
 
-// turn judges all rollouts once and reports whether there are any under way.
-func (c *conductor) turn(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
+// runOnce evaluates all rollouts once and reports whether any is active.
+func (c *rolloutController) runOnce(ctx context.Context) bool {
+	ctx, cancel := context.WithTimeout(ctx, backgroundProposalTimeout)
 	defer cancel()
-	reports := c.waiting
-	c.waiting = nil
+	reports := c.pendingReports
+	c.pendingReports = nil
 	var state *distribution.State
 	leading := false
-	err := c.server.inspect(ctx, func(now time.Duration) {
+	err := c.server.runOnLoop(ctx, func(now time.Duration) {
 		node := c.server.replica.Node()
 		state = c.server.replica.State()
-		leading = node.LeaseValid(now) && c.server.replica.Applied() >= node.Commit() && c.server.commonLevel() >= catalog.LevelOrders
+		leading = node.LeaseValid(now) && c.server.replica.Applied() >= node.Commit() && c.server.minMemberLevel() >= catalog.LevelOrders
 		if !leading && node.Leader() != node.ID() && len(reports) > 0 {
 			c.server.peers.announce(node.Leader(), protocol.Announce{Rollouts: reports})
 		}
@@ -126,96 +127,96 @@
 		return true
 	}
 	if !leading {
-		c.judges, c.leading = nil, time.Time{}
-		c.server.rolloutSeen.Store(nil)
-		return underWay(state.Orders)
+		c.activeRollouts, c.leadingSince = nil, time.Time{}
+		c.server.rolloutObservations.Store(nil)
+		return hasActiveRollout(state.Orders)
 	}
 	now := time.Now()
-	if c.leading.IsZero() {
-		c.leading = now
+	if c.leadingSince.IsZero() {
+		c.leadingSince = now
 	}
-	c.follow(state.Orders)
+	c.syncActive(state.Orders)
 	for _, report := range reports {
-		c.take(now, report)
+		c.recordReport(now, report)
 	}
-	c.judgeAll(ctx, now, state)
-	return len(c.judges) > 0
+	c.evaluateAll(ctx, now, state)
+	return len(c.activeRollouts) > 0
 }
 
-// judgeAll judges the rollouts under way, and keeps what the others were judged by last.
-func (c *conductor) judgeAll(ctx context.Context, now time.Time, state *distribution.State) {
-	var before map[string]seenRollout
-	if held := c.server.rolloutSeen.Load(); held != nil {
-		before = *held
+// evaluateAll evaluates the active rollouts, and keeps the latest observation of completed ones.
+func (c *rolloutController) evaluateAll(ctx context.Context, now time.Time, state *distribution.State) {
+	var previous map[string]rolloutObservation
+	if current := c.server.rolloutObservations.Load(); current != nil {
+		previous = *current
 	}
-	seen := maps.Clone(before)
+	seen := maps.Clone(previous)
 	if seen == nil {
-		seen = map[string]seenRollout{}
+		seen = map[string]rolloutObservation{}
 	}
-	for service := range c.judges {
-		held, _ := state.Orders.RolloutOf(service)
-		seen[service] = seenRollout{number: held.Number, RolloutSeen: c.judge(ctx, now, held, state.Endpoints[service])}
+	for service := range c.activeRollouts {
+		current, _ := state.Orders.RolloutOf(service)
+		seen[service] = rolloutObservation{number: current.Number, RolloutSeen: c.evaluate(ctx, now, current, state.Endpoints[service])}
 	}
-	c.server.rolloutSeen.Store(&seen)
+	c.server.rolloutObservations.Store(&seen)
 }
 
-// seenRollout is what the leader went by last in one rollout.
-type seenRollout struct {
+// rolloutObservation is the data of the leader's latest evaluation of one rollout.
+type rolloutObservation struct {
 	operator.RolloutSeen
 	number uint64
 }
 
-// follow keeps judges of just the rollouts that are under way.
-func (c *conductor) follow(table *orders.Table) {
-	next := map[string]*judged{}
-	for _, held := range table.AllRollouts() {
-		if held.Phase.Ended() {
+// syncActive adds newly started rollouts and drops completed or replaced ones.
+func (c *rolloutController) syncActive(table *orders.Table) {
+	next := map[string]*activeRollout{}
+	for _, current := range table.AllRollouts() {
+		if current.Phase.Ended() {
 			continue
 		}
-		j := c.judges[held.Service]
-		if j == nil || j.number != held.Number {
-			j = &judged{number: held.Number, judge: rollout.NewJudge(c.server.settings.Rollouts.Policy(), held), heard: map[string]heardNode{}}
+		active := c.activeRollouts[current.Service]
+		if active == nil || active.number != current.Number {
+			active = &activeRollout{number: current.Number, judge: rollout.NewJudge(c.server.settings.Rollouts.Policy(), current), reports: map[string]nodeReport{}}
 		}
-		next[held.Service] = j
+		next[current.Service] = active
 	}
-	c.judges = next
+	c.activeRollouts = next
 }
 
-// take keeps a node's report.
-func (c *conductor) take(now time.Time, report protocol.RolloutReport) {
-	j := c.judges[report.Service]
-	if j == nil || j.number != report.Number {
+// recordReport stores a node's report.
+func (c *rolloutController) recordReport(now time.Time, report protocol.RolloutReport) {
+	active := c.activeRollouts[report.Service]
+	if active == nil || active.number != report.Number {
 		return
 	}
-	j.heard[report.Node] = heardNode{RolloutReport: report, at: now}
+	active.reports[report.Node] = nodeReport{RolloutReport: report, at: now}
 	if report.Gate != nil {
-		j.judge.Take(now, *report.Gate)
+		active.judge.Take(now, *report.Gate)
 	}
 }
 
-// judge proposes the step that is due, and returns what it went by.
-func (c *conductor) judge(ctx context.Context, now time.Time, held rollout.Rollout, endpoints map[string]distribution.Endpoint) operator.RolloutSeen {
-	j := c.judges[held.Service]
-	view := j.view(now, c.leading, held, endpoints)
-	shown := summarize(held, view, j.heard)
-	next, changed := j.judge.Next(now, held, view)
+// evaluate proposes the next step if one is due, and returns the data behind the decision.
+func (c *rolloutController) evaluate(ctx context.Context, now time.Time, current rollout.Rollout, endpoints map[string]distribution.Endpoint) operator.RolloutSeen {
+	active := c.activeRollouts[current.Service]
+	view := active.view(now, c.leadingSince, current, endpoints)
+	observation := summarize(current, view, active.reports)
+	next, changed := active.judge.Next(now, current, view)
 	if !changed {
-		return shown
+		return observation
 	}
 	began := time.Now()
 	_, err := c.server.propose(ctx, catalog.Command{Orders: &orders.Change{Rollout: &rollout.Change{Rollout: next}}})
-	if err != nil || next.Phase != held.Phase || next.Share != held.Share {
-		c.server.logRolloutStep(held, next, shown, time.Since(began), err)
+	if err != nil || next.Phase != current.Phase || next.Share != current.Share {
+		c.server.logRolloutStep(current, next, observation, time.Since(began), err)
 	}
-	return shown
+	return observation
 }
 
-// view is what the leader knows of who has heard of a step.
-func (j *judged) view(now, leading time.Time, held rollout.Rollout, endpoints map[string]distribution.Endpoint) rollout.View {
+// view returns which nodes and gates have confirmed the current step, and for how long each was silent.
+func (a *activeRollout) view(now, leadingSince time.Time, current rollout.Rollout, endpoints map[string]distribution.Endpoint) rollout.View {
 	var view rollout.View
-	gates := map[string]heardNode{}
-	for _, node := range j.heard {
-		view.Holders = append(view.Holders, rollout.Holder{Name: node.Node, Confirmed: node.confirms(held), Silent: now.Sub(node.at)})
+	gates := map[string]nodeReport{}
+	for _, node := range a.reports {
+		view.Holders = append(view.Holders, rollout.Holder{Name: node.Node, Confirmed: node.confirms(current), Silent: now.Sub(node.at)})
 		if node.Gate != nil {
 			gates[node.Gate.Instance] = node
 		}
@@ -224,24 +225,24 @@
 		if endpoint.State != distribution.Live {
 			continue
 		}
-		state := rollout.GateState{Instance: endpoint.ID, Version: endpoint.Version, Silent: now.Sub(leading)}
+		state := rollout.GateState{Instance: endpoint.ID, Version: endpoint.Version, Silent: now.Sub(leadingSince)}
 		if node, found := gates[endpoint.ID]; found {
-			state.Life, state.Confirmed, state.AtWork, state.Silent = node.Gate.Life, node.confirms(held), node.AtWork, now.Sub(node.at)
+			state.Life, state.Confirmed, state.AtWork, state.Silent = node.Gate.Life, node.confirms(current), node.AtWork, now.Sub(node.at)
 		}
 		view.Gates = append(view.Gates, state)
 	}
 	return view
 }
 
-// confirms reports whether the node goes by the held step.
-func (n heardNode) confirms(held rollout.Rollout) bool {
-	return n.Number == held.Number && n.Phase == held.Phase && n.Share == held.Share
+// confirms reports whether the node has applied the current step.
+func (n nodeReport) confirms(current rollout.Rollout) bool {
+	return n.Number == current.Number && n.Phase == current.Phase && n.Share == current.Share
 }
 
-// logRolloutStep logs a step with its inputs.
-func (s *Server) logRolloutStep(held, next rollout.Rollout, seen operator.RolloutSeen, took time.Duration, err error) {
+// logRolloutStep logs a step with the data behind the decision.
+func (s *Server) logRolloutStep(current, next rollout.Rollout, seen operator.RolloutSeen, took time.Duration, err error) {
 	logger := log.With(s.logger, "event", "rollout_step", "service", next.Service, "target", next.Version, "number", next.Number, "step", next.Step)
-	logger.Log("phase_before", held.Phase, "phase_now", next.Phase, "share_before", held.Share, "share_now", next.Share, "reason", next.Reason,
+	logger.Log("phase_before", current.Phase, "phase_now", next.Phase, "share_before", current.Share, "share_now", next.Share, "reason", next.Reason,
 		"age", time.Since(time.UnixMilli(next.AtMillis)).Round(time.Millisecond), "granted", next.Exposed(), "admitted", seen.New.Admitted,
 		"reached", seen.New.Admitted+seen.Old.Admitted, "new_failed", seen.New.Failed, "new_answered", seen.New.Answered,
 		"old_failed", seen.Old.Failed, "old_answered", seen.Old.Answered, "nodes", seen.Nodes, "nodes_confirmed", seen.NodesConfirmed,
--- a/pkg/control/rollout_operator.go
+++ b/pkg/control/rollout_operator.go
@@ -10,8 +10,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// routeRollouts adds the operators' calls about rollouts.
-func (s *Server) routeRollouts(mux *http.ServeMux) {
+// registerRolloutRoutes registers the operators' endpoints for rollouts.
+func (s *Server) registerRolloutRoutes(mux *http.ServeMux) {
 	mux.HandleFunc("GET "+operator.PathRollouts, s.handleRollouts)
 	mux.HandleFunc("POST "+operator.PathRollouts, s.handleRolloutStart)
 	mux.HandleFunc("POST "+operator.PathRollouts+"/{service}"+operator.RolloutStop, s.handleRolloutStop)
@@ -21,22 +21,22 @@
 
 func (s *Server) handleRollouts(w http.ResponseWriter, r *http.Request) {
 	list := operator.RolloutList{Rollouts: []operator.Rollout{}}
-	err := s.readLeased(r.Context(), func(time.Duration) {
-		for _, held := range s.replica.State().Orders.AllRollouts() {
-			list.Rollouts = append(list.Rollouts, operator.DescribeRollout(held, s.seenOf(held)))
+	err := s.readWithLease(r.Context(), func(time.Duration) {
+		for _, current := range s.replica.State().Orders.AllRollouts() {
+			list.Rollouts = append(list.Rollouts, operator.DescribeRollout(current, s.observationsOf(current)))
 		}
 	})
-	answer(w, list, err)
+	writeResponse(w, list, err)
 }
 
-// seenOf returns what the leader goes by in a rollout, or went by last, nil if that is not known here.
-func (s *Server) seenOf(held rollout.Rollout) *operator.RolloutSeen {
-	all := s.rolloutSeen.Load()
+// observationsOf returns the leader's latest data about a rollout, nil if this replica has none.
+func (s *Server) observationsOf(current rollout.Rollout) *operator.RolloutSeen {
+	all := s.rolloutObservations.Load()
 	if all == nil {
 		return nil
 	}
-	seen, found := (*all)[held.Service]
-	if !found || seen.number != held.Number {
+	seen, found := (*all)[current.Service]
+	if !found || seen.number != current.Number {
 		return nil
 	}
 	return &seen.RolloutSeen
@@ -45,30 +45,30 @@
 func (s *Server) handleRolloutStart(w http.ResponseWriter, r *http.Request) {
 	var request operator.RolloutRequest
 	err := readRequest(w, r, &request)
-	var held rollout.Rollout
+	var current rollout.Rollout
 	if err == nil {
-		held, err = s.StartRollout(r.Context(), rollout.Order{Service: request.Service, Version: request.Version, Duration: request.Duration})
+		current, err = s.StartRollout(r.Context(), rollout.Order{Service: request.Service, Version: request.Version, Duration: request.Duration})
 	}
-	answer(w, operator.DescribeRollout(held, nil), err)
+	writeResponse(w, operator.DescribeRollout(current, nil), err)
 }
 
 func (s *Server) handleRolloutStop(w http.ResponseWriter, r *http.Request) {
-	held, err := s.StopRollout(r.Context(), r.PathValue("service"))
-	answer(w, operator.DescribeRollout(held, nil), err)
+	current, err := s.StopRollout(r.Context(), r.PathValue("service"))
+	writeResponse(w, operator.DescribeRollout(current, nil), err)
 }
 
 func (s *Server) handleRolloutHistory(w http.ResponseWriter, r *http.Request) {
 	steps := operator.RolloutSteps{Steps: []operator.Rollout{}}
-	err := s.readLeased(r.Context(), func(time.Duration) {
+	err := s.readWithLease(r.Context(), func(time.Duration) {
 		for _, step := range s.rolloutHistory.of(r.PathValue("service")) {
 			steps.Steps = append(steps.Steps, operator.DescribeRollout(step, nil))
 		}
 	})
-	answer(w, steps, err)
+	writeResponse(w, steps, err)
 }
 
-// rolloutMetrics shows each service's newest rollout as this replica holds it, and on the leader what it
-// goes by.
+// rolloutMetrics exports each service's newest rollout as this replica knows it, and on the leader the
+// observed call counts.
 type rolloutMetrics struct {
 	server *Server
 }
@@ -96,14 +96,14 @@
 	gauge := func(d *prometheus.Desc, value float64, labels ...string) {
 		metrics <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, value, labels...)
 	}
-	for _, held := range m.server.hub.State().Orders.AllRollouts() {
-		gauge(rolloutPhase, 1, held.Service, held.Version, held.Phase.String())
-		gauge(rolloutShare, float64(held.Share)/rollout.Thousandths, held.Service, held.Version)
-		gauge(rolloutGranted, float64(held.Exposed()), held.Service, held.Version)
-		if seen := m.server.seenOf(held); seen != nil {
-			for side, sums := range map[string]operator.RolloutSide{"new": seen.New, "old": seen.Old} {
-				gauge(rolloutCalls, float64(sums.Answered), held.Service, side, "answered")
-				gauge(rolloutCalls, float64(sums.Failed), held.Service, side, "failed")
+	for _, current := range m.server.hub.State().Orders.AllRollouts() {
+		gauge(rolloutPhase, 1, current.Service, current.Version, current.Phase.String())
+		gauge(rolloutShare, float64(current.Share)/rollout.Thousandths, current.Service, current.Version)
+		gauge(rolloutGranted, float64(current.Exposed()), current.Service, current.Version)
+		if seen := m.server.observationsOf(current); seen != nil {
+			for side, counts := range map[string]operator.RolloutSide{"new": seen.New, "old": seen.Old} {
+				gauge(rolloutCalls, float64(counts.Answered), current.Service, side, "answered")
+				gauge(rolloutCalls, float64(counts.Failed), current.Service, side, "failed")
 			}
 		}
 	}
--- a/pkg/control/rollout_order.go
+++ b/pkg/control/rollout_order.go
@@ -12,12 +12,12 @@
 	"bramblelift/pkg/rollout"
 )
 
-// orderResend is for how long an order that equals the newest one is taken for the same, sent again: the
-// rollout may have ended before its sender heard that it began. It outlasts any resend of an operator.
-const orderResend = 10 * time.Second
+// orderResendWindow is how long an order that equals the newest one counts as a resend, in case the rollout
+// ended before the operator received a response. It exceeds the retries of an operator's client.
+const orderResendWindow = 10 * time.Second
 
-// codesOfRollout translate why an order is refused.
-var codesOfRollout = map[error]catalog.Code{
+// rolloutErrorCodes maps reasons for rejecting an order to error codes.
+var rolloutErrorCodes = map[error]catalog.Code{
 	rollout.ErrInvalid:        catalog.CodeInvalidRequest,
 	rollout.ErrUnknownService: catalog.CodeUnknownService,
 	rollout.ErrNothingToDo:    catalog.CodeNothingToDo,
@@ -26,120 +26,120 @@
 	errEarlierRelease:         catalog.CodeUnavailable,
 }
 
-// refuseRollout makes a refusal of an order.
-func refuseRollout(service string, err error) error {
-	for known, code := range codesOfRollout {
+// rolloutOperationError returns the operation error for a rejected order.
+func rolloutOperationError(service string, err error) error {
+	for known, code := range rolloutErrorCodes {
 		if errors.Is(err, known) {
-			return refuse(code, "service %q: %v", service, err)
+			return newOperationError(code, "service %q: %v", service, err)
 		}
 	}
 	return err
 }
 
-// StartRollout has a rollout agreed on and returns once it is committed. Sent again it changes nothing. The
-// error is a *catalog.OperationError.
+// StartRollout commits a rollout order and returns the rollout. It is idempotent. The error is a
+// *catalog.OperationError.
 func (s *Server) StartRollout(ctx context.Context, order rollout.Order) (rollout.Rollout, error) {
-	held, done, err := s.checkRollout(ctx, order)
+	current, done, err := s.checkRollout(ctx, order)
 	if err != nil {
 		s.logger.Log("event", "order_refused", "order", "rollout", "service", order.Service, "version", order.Version, "duration", order.Duration, "reason", err)
 	}
 	if done || err != nil {
-		return held, err
+		return current, err
 	}
-	_, err = s.OrderBuilt(ctx, func(table *orders.Table) orders.Change {
-		return orders.Change{Rollout: &rollout.Change{Rollout: rollout.Start(order, newest(table, order.Service), time.Now())}}
+	_, err = s.OrderFunc(ctx, func(table *orders.Table) orders.Change {
+		return orders.Change{Rollout: &rollout.Change{Rollout: rollout.Start(order, latestRollout(table, order.Service), time.Now())}}
 	})
 	if err != nil {
 		return rollout.Rollout{}, err
 	}
-	// Of two orders at once one is void.
-	held, done, err = s.checkRollout(ctx, order)
+	// If two orders are proposed at once, only one takes effect.
+	current, done, err = s.checkRollout(ctx, order)
 	if err == nil && !done {
-		err = refuse(catalog.CodeUnknownOutcome, "service %q: the order did not take effect", order.Service)
+		err = newOperationError(catalog.CodeUnknownOutcome, "service %q: the order did not take effect", order.Service)
 	}
-	return held, err
+	return current, err
 }
 
-// checkRollout returns the rollout that an order asks for and whether it was taken already, or why it is
-// refused.
-func (s *Server) checkRollout(ctx context.Context, order rollout.Order) (held rollout.Rollout, done bool, err error) {
-	var refused error
-	err = s.readOnceLeased(ctx, func(time.Duration) {
+// checkRollout returns the current rollout of the service and whether the order was committed already, or
+// the error that rejects the order.
+func (s *Server) checkRollout(ctx context.Context, order rollout.Order) (current rollout.Rollout, done bool, err error) {
+	var rejection error
+	err = s.readAwaitingLease(ctx, func(time.Duration) {
 		state := s.replica.State()
-		before := newest(state.Orders, order.Service)
-		if before != nil {
-			held = *before
+		latest := latestRollout(state.Orders, order.Service)
+		if latest != nil {
+			current = *latest
 		}
-		if s.contentLevel() < catalog.LevelOrders {
-			refused = errEarlierRelease
+		if s.minContentLevel() < catalog.LevelOrders {
+			rejection = errEarlierRelease
 			return
 		}
-		if done = sentAgain(order, before, time.Now()); !done {
-			refused = rollout.Check(order, before, knowsService(state, order.Service), versionsOf(state.Endpoints[order.Service]))
+		if done = isResend(order, latest, time.Now()); !done {
+			rejection = rollout.Check(order, latest, serviceExists(state, order.Service), liveVersions(state.Endpoints[order.Service]))
 		}
 	})
-	if err == nil && errors.Is(refused, rollout.ErrUnderWay) {
-		return held, true, nil
+	if err == nil && errors.Is(rejection, rollout.ErrUnderWay) {
+		return current, true, nil
 	}
-	if err == nil && refused != nil {
-		err = refuseRollout(order.Service, refused)
+	if err == nil && rejection != nil {
+		err = rolloutOperationError(order.Service, rejection)
 	}
-	return held, done, err
+	return current, done, err
 }
 
-// errEarlierRelease: a gate beside a node of an earlier release lets everything into a new version.
+// errEarlierRelease rejects rollouts because gates of an earlier release don't enforce the exposure.
 var errEarlierRelease = errors.New("a replica or a node runs a release that does not know rollouts: upgrade it first")
 
-// sentAgain reports whether an order is the newest one, sent again after it has ended.
-func sentAgain(order rollout.Order, held *rollout.Rollout, now time.Time) bool {
-	return held != nil && held.Phase.Ended() && held.Version == order.Version && held.Duration == order.Duration &&
-		now.Sub(time.UnixMilli(held.AtMillis)) < orderResend
+// isResend reports whether an order equals the newest one, which has ended recently.
+func isResend(order rollout.Order, current *rollout.Rollout, now time.Time) bool {
+	return current != nil && current.Phase.Ended() && current.Version == order.Version && current.Duration == order.Duration &&
+		now.Sub(time.UnixMilli(current.AtMillis)) < orderResendWindow
 }
 
-// StopRollout has a rollout taken back, and returns once that is committed. The error is a
+// StopRollout commits the rollback of a service's active rollout. It is idempotent. The error is a
 // *catalog.OperationError.
 func (s *Server) StopRollout(ctx context.Context, service string) (rollout.Rollout, error) {
-	// The leader's own steps may come in between: the stop is void then.
-	for range stopTries {
-		var held *rollout.Rollout
-		err := s.readOnceLeased(ctx, func(time.Duration) { held = newest(s.replica.State().Orders, service) })
+	// A concurrent step of the leader makes the stop void, so it is retried.
+	for range maxStopAttempts {
+		var current *rollout.Rollout
+		err := s.readAwaitingLease(ctx, func(time.Duration) { current = latestRollout(s.replica.State().Orders, service) })
 		if err != nil {
 			return rollout.Rollout{}, err
 		}
-		if held != nil && (held.Phase == rollout.Reverting || held.Phase == rollout.RolledBack) {
-			return *held, nil
+		if current != nil && (current.Phase == rollout.Reverting || current.Phase == rollout.RolledBack) {
+			return *current, nil
 		}
-		next, err := rollout.Stop(held, time.Now())
+		next, err := rollout.Stop(current, time.Now())
 		if err != nil {
-			return rollout.Rollout{}, refuseRollout(service, err)
+			return rollout.Rollout{}, rolloutOperationError(service, err)
 		}
 		if _, err := s.Order(ctx, orders.Change{Rollout: &rollout.Change{Rollout: next}}); err != nil {
 			return rollout.Rollout{}, err
 		}
 	}
-	return rollout.Rollout{}, refuse(catalog.CodeUnavailable, "service %q: the rollout moves on too fast; try again", service)
+	return rollout.Rollout{}, newOperationError(catalog.CodeUnavailable, "service %q: the rollout moves on too fast; try again", service)
 }
 
-// stopTries is how often a stop is proposed that other steps made void.
-const stopTries = 5
+// maxStopAttempts bounds the proposals of a stop that concurrent steps make void.
+const maxStopAttempts = 5
 
-// Rollout returns a service's newest rollout as it is committed, false if it never had one. It fails where
-// a newer state could exist. The error is a *catalog.OperationError.
-func (s *Server) Rollout(ctx context.Context, service string) (held rollout.Rollout, found bool, err error) {
-	err = s.readOnceLeased(ctx, func(time.Duration) { held, found = s.replica.State().Orders.RolloutOf(service) })
-	return held, found, err
+// Rollout returns a service's newest committed rollout, false if there was none. It fails if this replica
+// can't rule out a newer state. The error is a *catalog.OperationError.
+func (s *Server) Rollout(ctx context.Context, service string) (current rollout.Rollout, found bool, err error) {
+	err = s.readAwaitingLease(ctx, func(time.Duration) { current, found = s.replica.State().Orders.RolloutOf(service) })
+	return current, found, err
 }
 
-func newest(table *orders.Table, service string) *rollout.Rollout {
-	held, found := table.RolloutOf(service)
+func latestRollout(table *orders.Table, service string) *rollout.Rollout {
+	current, found := table.RolloutOf(service)
 	if !found {
 		return nil
 	}
-	return &held
+	return &current
 }
 
-// knowsService reports whether a service is configured or has back ends.
-func knowsService(state *distribution.State, service string) bool {
+// serviceExists reports whether a service is configured or has back ends.
+func serviceExists(state *distribution.State, service string) bool {
 	if len(state.Endpoints[service]) > 0 {
 		return true
 	}
@@ -150,8 +150,8 @@
 	return found
 }
 
-// versionsOf returns the versions of the back ends that do not leave.
-func versionsOf(endpoints map[string]distribution.Endpoint) []string {
+// liveVersions returns the distinct versions of the live back ends.
+func liveVersions(endpoints map[string]distribution.Endpoint) []string {
 	var versions []string
 	for _, endpoint := range endpoints {
 		if endpoint.State == distribution.Live && !slices.Contains(versions, endpoint.Version) {
--- a/pkg/control/rollout_test.go
+++ b/pkg/control/rollout_test.go
@@ -15,67 +15,67 @@
 	"github.com/matryer/is"
 )
 
-func versioned(id, version string) distribution.Endpoint {
+func versionedEndpoint(id, version string) distribution.Endpoint {
 	return distribution.Endpoint{Service: "orders", ID: id, Incarnation: 1, Gate: "127.0.0.1:" + id, Version: version}
 }
 
-// startWithVersions returns a replica that knows one back end of each version.
+// startWithVersions starts a replica with one back end of each version.
 func startWithVersions(t *testing.T, versions ...string) *Server {
 	t.Helper()
-	server := startSingle(t)
+	server := startSingleReplica(t)
 	var endpoints []distribution.Endpoint
 	for i, version := range versions {
-		endpoints = append(endpoints, versioned(string(rune('1'+i)), version))
+		endpoints = append(endpoints, versionedEndpoint(string(rune('1'+i)), version))
 	}
 	server.proposeEndpoints(context.Background(), endpoints)
 	return server
 }
 
-func toVersion(version string) rollout.Order {
+func rolloutTo(version string) rollout.Order {
 	return rollout.Order{Service: "orders", Version: version, Duration: time.Minute}
 }
 
-// refusedWith checks that an order is refused with a code and that it changed nothing.
-func refusedWith(t *testing.T, server *Server, order rollout.Order, code catalog.Code) {
+// requireRejected checks that an order is rejected with a code and changes nothing.
+func requireRejected(t *testing.T, server *Server, order rollout.Order, code catalog.Code) {
 	t.Helper()
 	is := is.New(t)
-	before := heldOrders(t, server)
+	before := currentOrders(t, server)
 	_, err := server.StartRollout(context.Background(), order)
 	var refused *catalog.OperationError
 	is.True(errors.As(err, &refused))
 	is.Equal(refused.Code, code)
-	is.Equal(heldOrders(t, server).AllRollouts(), before.AllRollouts())
+	is.Equal(currentOrders(t, server).AllRollouts(), before.AllRollouts())
 }
 
-func TestOrdersOfRolloutsThatAreRefusedChangeNothing(t *testing.T) {
+func TestRejectedRolloutOrdersChangeNothing(t *testing.T) {
 	is := is.New(t)
 	server := startWithVersions(t, "v1", "v1")
-	refusedWith(t, server, rollout.Order{Service: "orders", Version: "v2"}, catalog.CodeInvalidRequest)
-	refusedWith(t, server, rollout.Order{Service: "orders", Duration: time.Minute}, catalog.CodeInvalidRequest)
-	refusedWith(t, server, rollout.Order{Service: "other", Version: "v2", Duration: time.Minute}, catalog.CodeUnknownService)
-	refusedWith(t, server, toVersion("v1"), catalog.CodeNothingToDo)
+	requireRejected(t, server, rollout.Order{Service: "orders", Version: "v2"}, catalog.CodeInvalidRequest)
+	requireRejected(t, server, rollout.Order{Service: "orders", Duration: time.Minute}, catalog.CodeInvalidRequest)
+	requireRejected(t, server, rollout.Order{Service: "other", Version: "v2", Duration: time.Minute}, catalog.CodeUnknownService)
+	requireRejected(t, server, rolloutTo("v1"), catalog.CodeNothingToDo)
 	_, found, err := server.Rollout(context.Background(), "orders")
 	is.NoErr(err)
 	is.True(!found)
 
-	_, err = server.StartRollout(context.Background(), toVersion("v2"))
+	_, err = server.StartRollout(context.Background(), rolloutTo("v2"))
 	is.NoErr(err)
-	refusedWith(t, server, toVersion("v3"), catalog.CodeRolloutConflict)
-	refusedWith(t, server, rollout.Order{Service: "orders", Version: "v2", Duration: time.Hour}, catalog.CodeRolloutConflict)
+	requireRejected(t, server, rolloutTo("v3"), catalog.CodeRolloutConflict)
+	requireRejected(t, server, rollout.Order{Service: "orders", Version: "v2", Duration: time.Hour}, catalog.CodeRolloutConflict)
 }
 
-func TestOrderOfARolloutSentAgainStartsNoOther(t *testing.T) {
+func TestResentRolloutOrderStartsNoSecondRollout(t *testing.T) {
 	is := is.New(t)
 	server := startWithVersions(t, "v1")
-	first, err := server.StartRollout(context.Background(), toVersion("v2"))
+	first, err := server.StartRollout(context.Background(), rolloutTo("v2"))
 	is.NoErr(err)
 	is.Equal(first.Phase, rollout.Running)
-	again, err := server.StartRollout(context.Background(), toVersion("v2"))
+	resent, err := server.StartRollout(context.Background(), rolloutTo("v2"))
 	is.NoErr(err)
-	is.Equal(again.Number, first.Number)
-	is.Equal(again.AtMillis, first.AtMillis)
+	is.Equal(resent.Number, first.Number)
+	is.Equal(resent.AtMillis, first.AtMillis)
 
-	// It may have ended before its sender hears of it.
+	// The rollout may end before the operator receives the response.
 	stopped, err := server.StopRollout(context.Background(), "orders")
 	is.NoErr(err)
 	is.True(stopped.Phase == rollout.Reverting || stopped.Phase == rollout.RolledBack)
@@ -84,54 +84,54 @@
 		stopped, _, err = server.Rollout(context.Background(), "orders")
 		is.NoErr(err)
 	}
-	again, err = server.StartRollout(context.Background(), toVersion("v2"))
+	resent, err = server.StartRollout(context.Background(), rolloutTo("v2"))
 	is.NoErr(err)
-	is.Equal(again.Number, first.Number)
-	is.Equal(again.Phase, rollout.RolledBack)
-	// Another order begins anew.
-	next, err := server.StartRollout(context.Background(), toVersion("v3"))
+	is.Equal(resent.Number, first.Number)
+	is.Equal(resent.Phase, rollout.RolledBack)
+	// A different order starts a new rollout.
+	second, err := server.StartRollout(context.Background(), rolloutTo("v3"))
 	is.NoErr(err)
-	is.Equal(next.Number, first.Number+1)
+	is.Equal(second.Number, first.Number+1)
 }
 
-func TestOfTwoOrdersAtOnceOneRolloutStarts(t *testing.T) {
+func TestConcurrentOrdersStartOneRollout(t *testing.T) {
 	is := is.New(t)
 	server := startWithVersions(t, "v1")
 	errs := make([]error, 8)
 	var group sync.WaitGroup
 	for i := range errs {
-		group.Go(func() { _, errs[i] = server.StartRollout(context.Background(), toVersion([]string{"v2", "v3"}[i%2])) })
+		group.Go(func() { _, errs[i] = server.StartRollout(context.Background(), rolloutTo([]string{"v2", "v3"}[i%2])) })
 	}
 	group.Wait()
-	held, found, err := server.Rollout(context.Background(), "orders")
+	current, found, err := server.Rollout(context.Background(), "orders")
 	is.NoErr(err)
 	is.True(found)
-	is.Equal(held.Number, uint64(1))
+	is.Equal(current.Number, uint64(1))
 	for i, err := range errs {
-		wins := held.Version == []string{"v2", "v3"}[i%2]
+		wins := current.Version == []string{"v2", "v3"}[i%2]
 		is.Equal(err == nil, wins)
 	}
 }
 
-func TestNoRolloutWhileAMemberDoesNotKnowThem(t *testing.T) {
+func TestNoRolloutWhileAMemberRunsAnEarlierRelease(t *testing.T) {
 	is := is.New(t)
 	server := startWithVersions(t, "v1")
 	address := ownReplicaAddress(t, server)
-	server.noteLevel(protocol.Hello{Address: address, KnowsSuspects: true})
-	refusedWith(t, server, toVersion("v2"), catalog.CodeUnavailable)
-	server.noteLevel(protocol.Hello{Address: address, KnowsSuspects: true, Level: catalog.NewestLevel})
-	_, err := server.StartRollout(context.Background(), toVersion("v2"))
+	server.recordReplicaLevel(protocol.Hello{Address: address, KnowsSuspects: true})
+	requireRejected(t, server, rolloutTo("v2"), catalog.CodeUnavailable)
+	server.recordReplicaLevel(protocol.Hello{Address: address, KnowsSuspects: true, Level: catalog.NewestLevel})
+	_, err := server.StartRollout(context.Background(), rolloutTo("v2"))
 	is.NoErr(err)
-	// What is under way waits, too, and goes on afterwards.
-	server.noteLevel(protocol.Hello{Address: address, KnowsSuspects: true})
+	// An active rollout pauses as well, and can't be stopped meanwhile.
+	server.recordReplicaLevel(protocol.Hello{Address: address, KnowsSuspects: true})
 	_, err = server.StopRollout(context.Background(), "orders")
 	is.True(err != nil)
-	held, _, err := server.Rollout(context.Background(), "orders")
+	current, _, err := server.Rollout(context.Background(), "orders")
 	is.NoErr(err)
-	is.Equal(held.Phase, rollout.Running)
+	is.Equal(current.Phase, rollout.Running)
 }
 
-func TestStopOfWhatDoesNotRunIsRefused(t *testing.T) {
+func TestStopWithoutRolloutIsRejected(t *testing.T) {
 	is := is.New(t)
 	server := startWithVersions(t, "v1")
 	_, err := server.StopRollout(context.Background(), "orders")
@@ -140,30 +140,30 @@
 	is.Equal(refused.Code, catalog.CodeNoRollout)
 }
 
-// The leader takes reports in while it leads, and gates get what they are granted from the log.
+// The leader must grant calls to gates of the new version, based on the reports of all gates.
 func TestGatesOfTheNewVersionAreGrantedCalls(t *testing.T) {
 	is := is.New(t)
 	server := startWithVersions(t, "v1", "v2")
-	held, err := server.StartRollout(context.Background(), toVersion("v2"))
+	current, err := server.StartRollout(context.Background(), rolloutTo("v2"))
 	is.NoErr(err)
 	report := func(instance, version string, admitted uint64) protocol.RolloutReport {
-		return protocol.RolloutReport{Node: "node-" + instance, Service: "orders", Number: held.Number, Phase: held.Phase, Share: held.Share,
-			Gate: &rollout.Report{Service: "orders", Number: held.Number, Version: version, Instance: instance, Life: uint64(instance[0]), Admitted: admitted}}
+		return protocol.RolloutReport{Node: "node-" + instance, Service: "orders", Number: current.Number, Phase: current.Phase, Share: current.Share,
+			Gate: &rollout.Report{Service: "orders", Number: current.Number, Version: version, Instance: instance, Life: uint64(instance[0]), Admitted: admitted}}
 	}
 	var granted uint64
 	for deadline := time.Now().Add(5 * time.Second); granted == 0; time.Sleep(20 * time.Millisecond) {
 		is.True(time.Now().Before(deadline))
-		server.takeAnnounced(protocol.Announce{Rollouts: []protocol.RolloutReport{report("1", "v1", 1000), report("2", "v2", 0)}})
-		held, _, err = server.Rollout(context.Background(), "orders")
+		server.handleAnnounce(protocol.Announce{Rollouts: []protocol.RolloutReport{report("1", "v1", 1000), report("2", "v2", 0)}})
+		current, _, err = server.Rollout(context.Background(), "orders")
 		is.NoErr(err)
-		granted = rollout.Allowance(held, '2')
+		granted = rollout.Allowance(current, '2')
 	}
-	is.True(granted <= 150) // a tenth of 1000 calls, and 50
-	is.Equal(rollout.Allowance(held, '1'), uint64(0))
-	seen := server.seenOf(held)
+	is.True(granted <= 150) // a tenth of 1000 calls plus a slack of 50
+	is.Equal(rollout.Allowance(current, '1'), uint64(0))
+	seen := server.observationsOf(current)
 	is.True(seen != nil)
 	is.Equal(seen.Gates, 2)
 	is.Equal(seen.Nodes, 2)
 	is.Equal(seen.Old.Admitted, uint64(1000))
-	is.Equal(len(server.rolloutHistory.of("orders")), 1) // grants alone are no step
+	is.Equal(len(server.rolloutHistory.of("orders")), 1) // a change of grants isn't a step
 }
--- a/pkg/control/rollout_view.go
+++ b/pkg/control/rollout_view.go
@@ -10,8 +10,8 @@
 	"bramblelift/pkg/rollout"
 )
 
-// summarize adds up what nodes have told.
-func summarize(held rollout.Rollout, view rollout.View, heard map[string]heardNode) operator.RolloutSeen {
+// summarize aggregates the nodes' reports of a rollout.
+func summarize(current rollout.Rollout, view rollout.View, reports map[string]nodeReport) operator.RolloutSeen {
 	seen := operator.RolloutSeen{Nodes: len(view.Holders), Gates: len(view.Gates)}
 	for _, holder := range view.Holders {
 		if holder.Confirmed {
@@ -22,24 +22,24 @@
 		if gate.Confirmed {
 			seen.GatesConfirmed++
 		}
-		if held.Phase == rollout.Closing && gate.Version != held.Version && (!gate.Confirmed || gate.AtWork > 0) {
+		if current.Phase == rollout.Closing && gate.Version != current.Version && (!gate.Confirmed || gate.AtWork > 0) {
 			if seen.Open == nil {
 				seen.Open = map[string]int{}
 			}
 			seen.Open[gate.Instance] = gate.AtWork
 		}
 	}
-	addReports(&seen, held, heard)
+	addReports(&seen, current, reports)
 	return seen
 }
 
-// sums are the counts of one side of a route.
-type sums struct {
+// sideCounts are the summed counts of one side of a rollout, for one route or all.
+type sideCounts struct {
 	answered, failed uint64
 	times            rollout.Times
 }
 
-func (s *sums) add(count rollout.RouteCount) {
+func (s *sideCounts) add(count rollout.RouteCount) {
 	s.answered += count.Answered
 	s.failed += count.Failed
 	for i, n := range count.Times {
@@ -47,19 +47,19 @@
 	}
 }
 
-func (s *sums) side() operator.RolloutSide {
+func (s *sideCounts) side() operator.RolloutSide {
 	return operator.RolloutSide{Answered: s.answered, Failed: s.failed, Median: s.times.Median()}
 }
 
-func addReports(v *operator.RolloutSeen, held rollout.Rollout, heard map[string]heardNode) {
-	type sides struct{ new, old sums }
+func addReports(v *operator.RolloutSeen, current rollout.Rollout, reports map[string]nodeReport) {
+	type sides struct{ new, old sideCounts }
 	routes := map[string]*sides{}
 	var all sides
-	for _, node := range heard {
+	for _, node := range reports {
 		if node.Gate == nil {
 			continue
 		}
-		target := node.Gate.Version == held.Version
+		target := node.Gate.Version == current.Version
 		if target {
 			v.New.Admitted += node.Gate.Admitted
 		} else {
@@ -89,10 +89,10 @@
 	v.New.Admitted, v.Old.Admitted = newAdmitted, oldAdmitted
 }
 
-// maxRolloutSteps bounds the steps that are kept of each service for people.
+// maxRolloutSteps bounds the steps kept for each service.
 const maxRolloutSteps = 64
 
-// rolloutHistory keeps the steps of rollouts that this replica has applied since it started. It is safe for
+// rolloutHistory holds the rollout steps that this replica has applied since it started. It is safe for
 // concurrent use.
 type rolloutHistory struct {
 	mu    sync.Mutex
@@ -100,25 +100,25 @@
 	steps map[string][]rollout.Rollout
 }
 
-// note takes in the newest orders.
-func (h *rolloutHistory) note(table *orders.Table) {
+// record appends the steps that differ from the previous orders.
+func (h *rolloutHistory) record(table *orders.Table) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if table == h.table {
 		return
 	}
-	for _, now := range table.AllRollouts() {
-		before, found := h.table.RolloutOf(now.Service)
-		if found && before.Number == now.Number && before.Phase == now.Phase && before.Share == now.Share {
+	for _, current := range table.AllRollouts() {
+		previous, found := h.table.RolloutOf(current.Service)
+		if found && previous.Number == current.Number && previous.Phase == current.Phase && previous.Share == current.Share {
 			continue
 		}
 		if h.steps == nil {
 			h.steps = map[string][]rollout.Rollout{}
 		}
-		// What gates were granted is not a step of its own.
-		now.Grants, now.Spent = nil, now.Exposed()
-		steps := append(h.steps[now.Service], now)
-		h.steps[now.Service] = steps[max(0, len(steps)-maxRolloutSteps):]
+		// Grants are omitted: a change of grants alone isn't a step.
+		current.Grants, current.Spent = nil, current.Exposed()
+		steps := append(h.steps[current.Service], current)
+		h.steps[current.Service] = steps[max(0, len(steps)-maxRolloutSteps):]
 	}
 	h.table = table
 }
--- a/pkg/control/server.go
+++ b/pkg/control/server.go
@@ -28,7 +28,7 @@
 	"github.com/go-kit/log"
 )
 
-// Sizes and times of the daemon.
+// Buffer sizes, limits and timeouts of the daemon.
 const (
 	maxAppendBytes   = 1 << 20
 	keepEntries      = 1000
@@ -36,14 +36,13 @@
 	compactBytes     = 16 << 20
 	maxClockDrift    = 0.05
 	inboxSize        = 1024
-	maxTurnEvents    = 256
-	maxTurnPause     = 50 * time.Millisecond
+	maxBatchedEvents = 256
+	maxLoopWait      = 50 * time.Millisecond
 	peerWriteTimeout = 2 * time.Second
 	handshakeTimeout = 3 * time.Second
 	relaySilence     = 5 * time.Second
-	// admissionRate and admissionBurst of new subscribers, in a second and at once: a
-	// replica that is back first gets the nodes of several zones, and one costs it less than
-	// half a millisecond of a whole core, since their first state is encoded once.
+	// admissionRate (per second) and admissionBurst limit new subscribers. Both cover the nodes of several
+	// zones reconnecting to one replica, which is cheap because their first state is encoded once.
 	admissionRate  = 200
 	admissionBurst = 200
 )
@@ -62,10 +61,10 @@
 	http     *http.Client
 	nodes    *nodeRegistry
 
-	messages chan received
-	joins    chan protocol.Join
-	calls    chan call
-	peers    *peerSet
+	messages  chan inboundMessage
+	joins     chan protocol.Join
+	loopFuncs chan loopFunc
+	peers     *peerSet
 
 	confirmedAt   atomic.Int64
 	platformError atomic.Pointer[string]
@@ -73,63 +72,62 @@
 	nextProposal  replica.ProposalID
 	pending       map[replica.ProposalID]chan<- replica.Completion
 	stalled       bool
-	announced     chan []distribution.Endpoint
-	evidence      chan []quarantine.Evidence
-	// suspicion holds at most one token: the suspects have changed.
-	suspicion chan struct{}
-	// rolloutReports are what nodes told of rollouts; rolloutSteps holds at most one token: a rollout that
-	// is under way has changed.
-	rolloutReports chan []protocol.RolloutReport
-	rolloutSteps   chan struct{}
-	rolloutHistory rolloutHistory
-	// rolloutSeen is what the leader goes by, or went by last, by service; nil where this replica does
-	// not lead.
-	rolloutSeen atomic.Pointer[map[string]seenRollout]
-	levels      levelTable
-	// subscribers is what other replicas tell of theirs.
-	subscribers subscriberLevel
-	known       atomic.Pointer[knownMembership]
-	seeds       atomic.Pointer[[]string]
-	quotas      *quotas
+	endpointQueue chan []distribution.Endpoint
+	evidenceQueue chan []quarantine.Evidence
+	// suspectsChanged holds at most one token, which signals that the suspects changed.
+	suspectsChanged chan struct{}
+	// rolloutReports holds reports from nodes; rolloutsChanged holds at most one token, which signals that
+	// an active rollout changed.
+	rolloutReports  chan []protocol.RolloutReport
+	rolloutsChanged chan struct{}
+	rolloutHistory  rolloutHistory
+	// rolloutObservations holds the leader's latest observations by service; nil while this replica
+	// doesn't lead.
+	rolloutObservations atomic.Pointer[map[string]rolloutObservation]
+	replicaLevels       replicaLevelTable
+	// remoteSubscribers holds the levels that other replicas reported for their subscribers.
+	remoteSubscribers subscriberLevels
+	membership        atomic.Pointer[membershipView]
+	seeds             atomic.Pointer[[]string]
+	quotas            *quotaCoordinator
 
 	newInterface      func(*Server) http.Handler
 	interfaceListener net.Listener
 }
 
-// call runs in the driver's goroutine.
-type call func(now time.Duration)
+// loopFunc is a function that runs on the event loop.
+type loopFunc func(now time.Duration)
 
-const unconfirmed = -1
+// neverConfirmed is the value of Server.confirmedAt until the first confirmation.
+const neverConfirmed = -1
 
-// Init makes the data folder of one of the first replicas of a new cluster.
+// Init creates the data folder of an initial member of a new cluster.
 func Init(config settings.Control) error {
 	files, err := storage.OpenFolder(config.Data)
 	if err != nil {
 		return err
 	}
-	return replica.CreateFirst(files, config.Cluster, memberName(config), founders(config))
+	return replica.CreateFirst(files, config.Cluster, memberName(config), initialMembers(config))
 }
 
-// New opens the replica's state and its sockets. A folder without state becomes a
-// replica that asks to replace the machine of its name.
-//
-// newInterface, if set, makes the handler of settings.InterfaceListen.
+// New opens the replica's state and its listeners. A replica with an empty data folder asks to replace the
+// member of its name. newInterface, if not nil, creates the handler of settings.InterfaceListen.
 func New(config settings.Control, logger log.Logger, newInterface func(*Server) http.Handler) (*Server, error) {
 	s := &Server{
-		newInterface: newInterface, announced: make(chan []distribution.Endpoint, inboxSize),
-		evidence: make(chan []quarantine.Evidence, inboxSize), suspicion: make(chan struct{}, 1),
-		rolloutReports: make(chan []protocol.RolloutReport, inboxSize), rolloutSteps: make(chan struct{}, 1),
+		newInterface: newInterface, endpointQueue: make(chan []distribution.Endpoint, inboxSize),
+		evidenceQueue: make(chan []quarantine.Evidence, inboxSize), suspectsChanged: make(chan struct{}, 1),
+		rolloutReports: make(chan []protocol.RolloutReport, inboxSize), rolloutsChanged: make(chan struct{}, 1),
 		settings: config, logger: logger, clock: clock.New(),
-		messages: make(chan received, inboxSize),
-		joins:    make(chan protocol.Join, inboxSize),
-		calls:    make(chan call, inboxSize),
-		pending:  map[replica.ProposalID]chan<- replica.Completion{},
-		http:     &http.Client{},
-		nodes:    newNodeRegistry(),
-		// Proposal IDs must not repeat over a restart within one client's call.
+		messages:  make(chan inboundMessage, inboxSize),
+		joins:     make(chan protocol.Join, inboxSize),
+		loopFuncs: make(chan loopFunc, inboxSize),
+		pending:   map[replica.ProposalID]chan<- replica.Completion{},
+		http:      &http.Client{},
+		nodes:     newNodeRegistry(),
+		// A random start prevents reuse of a proposal ID after a restart.
 		nextProposal: replica.ProposalID(rand.Uint32()),
 	}
-	s.confirmedAt.Store(unconfirmed)
+	s.confirmedAt.Store(neverConfirmed)
 	s.SetSeeds(config.SeedAddresses())
 	var err error
 	if s.verifier, err = config.Verifier(); err != nil {
@@ -138,14 +136,14 @@
 	if err := s.openReplica(); err != nil {
 		return nil, err
 	}
-	s.quotas = newQuotas(s)
+	s.quotas = newQuotaCoordinator(s)
 	s.hub = stream.NewHub(stream.HubConfig{
 		Quotas: s.quotas.replica,
 		Name:   config.Name, SilenceTimeout: relaySilence,
 		Admission: stream.AdmissionConfig{PerSecond: admissionRate, Burst: admissionBurst},
 		Now:       s.clock.Elapsed, ConfirmedAt: s.confirmed,
-		OnReport:   func(report protocol.NodeReport) { s.nodes.take(report, time.Now()) },
-		OnAnnounce: s.takeAnnounced, Servers: s.servers,
+		OnReport:   func(report protocol.NodeReport) { s.nodes.record(report, time.Now()) },
+		OnAnnounce: s.handleAnnounce, Servers: s.servers,
 	}, s.replica.State())
 	if s.listener, err = wire.Listen(config.Listen); err != nil {
 		return nil, fmt.Errorf("listen for replicas and relays: %w", err)
@@ -160,7 +158,7 @@
 	s.traffic = metrics.NewTraffic(s.admin.Registry)
 	s.registerMetrics()
 	s.peers = newPeerSet(s)
-	s.routeOperators()
+	s.registerOperatorRoutes()
 	return s, nil
 }
 
@@ -177,7 +175,7 @@
 		return err
 	}
 	if identity.Name != "" && (identity.Name != memberName(s.settings) || identity.ClusterID != s.settings.Cluster) {
-		return fmt.Errorf("data folder belongs to %q of cluster %q", identity.Name, identity.ClusterID)
+		return fmt.Errorf("data folder belongs to replica %q of cluster %q", identity.Name, identity.ClusterID)
 	}
 	s.replica, err = replica.Open(s.clock.Elapsed(), replica.Config{
 		Raft: raft.Config{
@@ -197,8 +195,8 @@
 	return err
 }
 
-// Run serves until the context ends. It returns an error when the replica's state can
-// no longer be made durable.
+// Run serves until the context ends. It returns an error if the replica's state can no longer be
+// persisted.
 func (s *Server) Run(ctx context.Context) error {
 	s.logger.Log("event", "started", "replica", uint64(s.replica.Node().ID()), "listen", s.listener.Addr(),
 		"admin", s.admin.Address(), "commit", s.replica.Node().Commit())
@@ -206,36 +204,36 @@
 	var group sync.WaitGroup
 	defer group.Wait()
 	defer cancel()
-	// Never called off: cancel comes before the wait for the goroutines that this ends.
+	// This must not be stopped: it ends the goroutines that the deferred group.Wait waits for.
 	context.AfterFunc(ctx, func() {
 		s.hub.Stop()
 		s.listener.Close()
 	})
-	group.Go(func() { s.accept(ctx, &group) })
+	group.Go(func() { s.acceptConns(ctx, &group) })
 	group.Go(func() {
 		if err := s.admin.Serve(ctx); err != nil {
 			s.logger.Log("event", "admin_ended", "error", err)
 		}
 	})
 	group.Go(func() { s.pollPlatform(ctx) })
-	group.Go(func() { s.proposeAnnounced(ctx) })
-	group.Go(func() { s.proposeEvidence(ctx) })
-	group.Go(func() { s.judgeSuspects(ctx) })
-	group.Go(func() { s.conductRollouts(ctx) })
-	group.Go(func() { s.tellSubscriberLevel(ctx) })
+	group.Go(func() { s.runEndpointProposer(ctx) })
+	group.Go(func() { s.runEvidenceProposer(ctx) })
+	group.Go(func() { s.runSuspectJudge(ctx) })
+	group.Go(func() { s.runRollouts(ctx) })
+	group.Go(func() { s.broadcastSubscriberLevel(ctx) })
 	group.Go(func() { s.quotas.run(ctx) })
 	group.Go(func() { s.serveInterface(ctx) })
-	err := s.drive(ctx)
+	err := s.runEventLoop(ctx)
 	s.peers.close()
 	if closeErr := s.replica.Close(); err == nil && closeErr != nil {
-		err = fmt.Errorf("close state: %w", closeErr)
+		err = fmt.Errorf("close replica state: %w", closeErr)
 	}
 	s.logger.Log("event", "stopped", "error", err)
 	return err
 }
 
-// drive owns the replica.
-func (s *Server) drive(ctx context.Context) error {
+// runEventLoop processes the replica's inputs until the context ends or a flush fails.
+func (s *Server) runEventLoop(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for ctx.Err() == nil {
@@ -243,31 +241,31 @@
 		case <-ctx.Done():
 			return nil
 		case m := <-s.messages:
-			s.step(m)
+			s.stepReplica(m)
 		case join := <-s.joins:
-			s.takeJoin(join)
-		case run := <-s.calls:
+			s.handleJoin(join)
+		case run := <-s.loopFuncs:
 			run(s.clock.Elapsed())
 		case <-timer.C:
 		}
-		s.takeWaiting()
-		if err := s.turn(); err != nil {
+		s.drainInputs()
+		if err := s.flush(); err != nil {
 			return err
 		}
-		timer.Reset(s.untilNextTurn())
+		timer.Reset(s.untilNextFlush())
 	}
 	return nil
 }
 
-// takeWaiting takes what else has come, so that one sync serves it all.
-func (s *Server) takeWaiting() {
-	for range maxTurnEvents {
+// drainInputs processes further queued inputs, so that one flush covers them all.
+func (s *Server) drainInputs() {
+	for range maxBatchedEvents {
 		select {
 		case m := <-s.messages:
-			s.step(m)
+			s.stepReplica(m)
 		case join := <-s.joins:
-			s.takeJoin(join)
-		case run := <-s.calls:
+			s.handleJoin(join)
+		case run := <-s.loopFuncs:
 			run(s.clock.Elapsed())
 		default:
 			return
@@ -275,25 +273,25 @@
 	}
 }
 
-// received is a consensus message with the address that its sender gave.
-type received struct {
+// inboundMessage is a consensus message with the address in its sender's hello.
+type inboundMessage struct {
 	message raft.Message
 	address string
 }
 
-func (s *Server) step(m received) {
+func (s *Server) stepReplica(m inboundMessage) {
 	if m.address != "" {
 		s.replica.Learn(m.message.From, m.address)
 	}
 	s.replica.Step(s.clock.Elapsed(), m.message)
 }
 
-// turn flushes the replica once and lets the outcome out.
-func (s *Server) turn() error {
+// flush persists the replica's changes, then releases messages, the new state and completions.
+func (s *Server) flush() error {
 	s.replica.Tick(s.clock.Elapsed())
 	output, err := s.replica.Flush(s.clock.Elapsed())
 	if err != nil {
-		return fmt.Errorf("replica cannot go on: %w", err)
+		return fmt.Errorf("persist replica state: %w", err)
 	}
 	if stalled := s.replica.Stalled(); stalled != s.stalled {
 		s.stalled = stalled
@@ -304,21 +302,21 @@
 	}
 	if output.StateChanged {
 		s.hub.SetState(s.replica.State())
-		s.noteSuspects()
-		s.noteRollouts()
+		s.notifySuspects()
+		s.notifyRollouts()
 	}
-	// Only after the hub has the state may it be called confirmed.
+	// The hub must have the state before it is reported as confirmed.
 	if at, confirmed := s.replica.Node().ConfirmedAt(s.clock.Elapsed()); confirmed {
 		s.confirmedAt.Store(int64(at))
 	}
 	for _, done := range output.Completions {
-		if answer, found := s.pending[done.Proposal]; found {
+		if waiter, found := s.pending[done.Proposal]; found {
 			delete(s.pending, done.Proposal)
-			answer <- done
+			waiter <- done
 		}
 	}
 	s.logRole()
-	s.noteMembership()
+	s.refreshMembershipView()
 	return nil
 }
 
@@ -330,28 +328,28 @@
 	}
 }
 
-func (s *Server) untilNextTurn() time.Duration {
+func (s *Server) untilNextFlush() time.Duration {
 	if s.replica.Stalled() {
-		return maxTurnPause
+		return maxLoopWait
 	}
 	wait := s.replica.Node().NextDeadline() - s.clock.Elapsed()
-	return max(0, min(wait, maxTurnPause))
+	return max(0, min(wait, maxLoopWait))
 }
 
 func (s *Server) confirmed() (time.Duration, bool) {
 	at := s.confirmedAt.Load()
-	return time.Duration(at), at != unconfirmed
+	return time.Duration(at), at != neverConfirmed
 }
 
-// inspect runs a function in the driver's goroutine and waits for it.
-func (s *Server) inspect(ctx context.Context, run func(now time.Duration)) error {
+// runOnLoop runs a function on the event loop and waits until it returns or the context ends.
+func (s *Server) runOnLoop(ctx context.Context, run func(now time.Duration)) error {
 	done := make(chan struct{})
 	wrapped := func(now time.Duration) {
 		defer close(done)
 		run(now)
 	}
 	select {
-	case s.calls <- wrapped:
+	case s.loopFuncs <- wrapped:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -363,14 +361,14 @@
 	}
 }
 
-// accept serves replicas and relays that connect.
-func (s *Server) accept(ctx context.Context, group *sync.WaitGroup) {
-	if err := wire.AcceptAll(ctx, s.listener, group, s.serve); err != nil {
+// acceptConns serves connections of replicas and relays.
+func (s *Server) acceptConns(ctx context.Context, group *sync.WaitGroup) {
+	if err := wire.AcceptAll(ctx, s.listener, group, s.serveConn); err != nil {
 		s.logger.Log("event", "accept_failed", "error", err)
 	}
 }
 
-func (s *Server) serve(ctx context.Context, raw net.Conn) {
+func (s *Server) serveConn(ctx context.Context, raw net.Conn) {
 	link := &metrics.Link{}
 	conn := wire.NewConn(raw, wire.DefaultMaxFrame, peerWriteTimeout, s.traffic.Observe(link))
 	defer conn.Close()
--- a/pkg/control/server_test.go
+++ b/pkg/control/server_test.go
@@ -14,8 +14,8 @@
 	"github.com/matryer/is"
 )
 
-// singleReplica are the settings of a replica that is the only one.
-func singleReplica(t *testing.T) settings.Control {
+// singleReplicaSettings returns the settings of a cluster with one replica.
+func singleReplicaSettings(t *testing.T) settings.Control {
 	t.Helper()
 	return settings.Control{
 		Common: settings.Common{
@@ -27,28 +27,27 @@
 	}
 }
 
-// A stop must close the listener however the goroutines fall. Run could call the closing
-// off before it began, and then waited for its own listener for ever; that was rare, so
-// this is many stops, not a proof.
-func TestStopAlwaysEnds(t *testing.T) {
+// Guards against a race in which Run did not close its listener and waited for itself forever. The race is
+// rare, so the test repeats the stop.
+func TestServerAlwaysStops(t *testing.T) {
 	is := is.New(t)
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
-	config := singleReplica(t)
+	config := singleReplicaSettings(t)
 	is.NoErr(config.Check())
 	is.NoErr(Init(config))
 	for range 40 {
 		server, err := New(config, log.NewNopLogger(), nil)
 		is.NoErr(err)
 		ctx, cancel := context.WithCancel(context.Background())
-		ended := make(chan error, 1)
-		go func() { ended <- server.Run(ctx) }()
+		stopped := make(chan error, 1)
+		go func() { stopped <- server.Run(ctx) }()
 		time.Sleep(2 * time.Millisecond)
 		cancel()
 		select {
-		case err := <-ended:
+		case err := <-stopped:
 			is.NoErr(err)
 		case <-time.After(8 * time.Second):
-			t.Fatal("the server does not end")
+			t.Fatal("server did not stop in time")
 		}
 	}
 }
--- a/pkg/control/status.go
+++ b/pkg/control/status.go
@@ -10,10 +10,10 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// inspectTimeout bounds how long a status page waits for the driver.
-const inspectTimeout = 2 * time.Second
+// statusTimeout bounds how long a status request waits for the event loop.
+const statusTimeout = 2 * time.Second
 
-// LocalStatus is what /status shows: this replica's own view, which may be behind.
+// LocalStatus is the response of /status: this replica's own view, which may be stale.
 type LocalStatus struct {
 	Name        string          `json:"name"`
 	Role        string          `json:"role"`
@@ -24,10 +24,10 @@
 }
 
 func (s *Server) localStatus() any {
-	ctx, cancel := context.WithTimeout(context.Background(), inspectTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
 	defer cancel()
 	status := LocalStatus{Name: s.settings.Name, Subscribers: s.hub.Subscribers()}
-	err := s.inspect(ctx, func(now time.Duration) {
+	err := s.runOnLoop(ctx, func(now time.Duration) {
 		status.Role = s.replica.Node().Role().String()
 		status.View = s.status(now)
 	})
@@ -41,7 +41,7 @@
 	return status
 }
 
-// status runs in the driver's goroutine.
+// status returns the status of the control plane. It runs on the event loop.
 func (s *Server) status(now time.Duration) operator.Status {
 	node := s.replica.Node()
 	membership := node.Membership()
@@ -71,7 +71,7 @@
 	return status
 }
 
-// readyStaleLimit is how stale a replica may be and still call itself ready.
+// readyStaleLimit is the maximum staleness of a replica that reports ready.
 const readyStaleLimit = 3 * time.Second
 
 func (s *Server) ready() error {
--- a/pkg/control/suspects.go
+++ b/pkg/control/suspects.go
@@ -12,51 +12,49 @@
 )
 
 const (
-	// evidenceSpacing is between two commits of evidence: each may send every node its list of
-	// suspects, a kilobyte, so that while back ends end all the time a node gets 4 kB a second at
-	// most. It is short beside the seconds in which a request must be known.
-	evidenceSpacing = 250 * time.Millisecond
-	// leadLook is how soon a replica that does not decide on suspects looks again whether it must.
-	leadLook = time.Second
+	// evidenceBatchInterval is the minimum time between two commits of evidence. Each commit may send every
+	// node a watchlist of about a kilobyte, so this limits a node to 4 kB per second.
+	evidenceBatchInterval = 250 * time.Millisecond
+	// leadershipCheckInterval is how often a replica that can't decide on suspects checks whether it can.
+	leadershipCheckInterval = time.Second
 )
 
-// takeEvidence takes in what gates have seen of requests that end back ends. It comes again for
-// some seconds, so that some of it may be dropped.
-func (s *Server) takeEvidence(evidence quarantine.Evidence) {
+// enqueueEvidence queues evidence from gates and drops it if the queue is full: gates repeat it for
+// some seconds.
+func (s *Server) enqueueEvidence(evidence quarantine.Evidence) {
 	select {
-	case s.evidence <- []quarantine.Evidence{evidence}:
+	case s.evidenceQueue <- []quarantine.Evidence{evidence}:
 	default:
 		s.logger.Log("event", "evidence_dropped", "ends", len(evidence.Ends), "answers", len(evidence.Answers), "reason", "too much at once")
 	}
 }
 
-// proposeEvidence has evidence agreed on, here or at the leader. What comes soon after other
-// evidence is gathered.
-func (s *Server) proposeEvidence(ctx context.Context) {
+// runEvidenceProposer proposes evidence in batches, or forwards it to the leader.
+func (s *Server) runEvidenceProposer(ctx context.Context) {
 	var next time.Time
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case list := <-s.evidence:
+		case list := <-s.evidenceQueue:
 			var evidence quarantine.Evidence
-			for _, more := range gather(ctx, list, s.evidence, time.Until(next)) {
+			for _, more := range collectBatch(ctx, list, s.evidenceQueue, time.Until(next)) {
 				evidence = evidence.Join(more)
 			}
 			s.proposeNewEvidence(ctx, evidence)
-			next = time.Now().Add(evidenceSpacing)
+			next = time.Now().Add(evidenceBatchInterval)
 		}
 	}
 }
 
-// proposeNewEvidence proposes what of some evidence is news.
+// proposeNewEvidence proposes the evidence that the state doesn't contain, or forwards it to the leader.
 func (s *Server) proposeNewEvidence(ctx context.Context, evidence quarantine.Evidence) {
-	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
+	ctx, cancel := context.WithTimeout(ctx, backgroundProposalTimeout)
 	defer cancel()
 	leading := false
-	err := s.inspect(ctx, func(now time.Duration) {
+	err := s.runOnLoop(ctx, func(now time.Duration) {
 		node := s.replica.Node()
-		leading = s.decidesOnSuspects(now)
+		leading = s.canDecideSuspects(now)
 		evidence = s.replica.State().Suspects.News(evidence)
 		if !leading && node.Leader() != node.ID() && !evidence.Empty() {
 			s.peers.announce(node.Leader(), protocol.Announce{Evidence: &evidence})
@@ -68,7 +66,7 @@
 	_, _ = s.proposeSuspects(ctx, quarantine.Change{Evidence: evidence})
 }
 
-// proposeSuspects has a change of the suspects agreed on, and logs it. What failed comes again.
+// proposeSuspects proposes a change of the suspects and logs it. Gates and the judge repeat failed changes.
 func (s *Server) proposeSuspects(ctx context.Context, change quarantine.Change) (catalog.Result, error) {
 	result, err := s.propose(ctx, catalog.Command{Suspects: &change})
 	for _, end := range change.Evidence.Ends {
@@ -85,26 +83,25 @@
 	return result, err
 }
 
-// decidesOnSuspects reports whether this replica leads and may propose entries about suspects. It
-// runs in the driver's goroutine.
-func (s *Server) decidesOnSuspects(now time.Duration) bool {
-	return s.replica.Node().LeaseValid(now) && s.commonLevel() >= catalog.LevelSuspects
+// canDecideSuspects reports whether this replica leads and all members support entries about suspects. It
+// runs on the event loop.
+func (s *Server) canDecideSuspects(now time.Duration) bool {
+	return s.replica.Node().LeaseValid(now) && s.minMemberLevel() >= catalog.LevelSuspects
 }
 
-// noteSuspects wakes the judge if there are suspects. It runs in the driver's goroutine.
-func (s *Server) noteSuspects() {
+// notifySuspects wakes the judge if there are suspects. It runs on the event loop.
+func (s *Server) notifySuspects() {
 	if s.replica.State().Suspects.Empty() {
 		return
 	}
 	select {
-	case s.suspicion <- struct{}{}:
+	case s.suspectsChanged <- struct{}{}:
 	default:
 	}
 }
 
-// judgeSuspects decides on suspects for as long as this replica leads. It sleeps while there are
-// none.
-func (s *Server) judgeSuspects(ctx context.Context) {
+// runSuspectJudge decides on suspects while this replica leads. It sleeps while there are none.
+func (s *Server) runSuspectJudge(ctx context.Context) {
 	judge := quarantine.NewJudge()
 	judge.Answerable = s.answerable
 	timer := time.NewTimer(0)
@@ -113,17 +110,17 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.suspicion:
+		case <-s.suspectsChanged:
 		case <-timer.C:
 		}
-		wait := s.judgeOnce(ctx, judge)
+		wait := s.proposeDueVerdicts(ctx, judge)
 		timer.Reset(wait)
 	}
 }
 
-// answerable reports whether a service at which back ends ended under a suspect has one that could answer it:
-// registered, taking calls, and not among those that ended. One that the table does not list is named in the
-// bundle and is not known here to have ended. It runs in the driver's goroutine.
+// answerable reports whether any service that crashed under a suspect has a back end that could answer it:
+// live, not evacuated, and not crashed itself. A service without registered back ends has them in the
+// bundle, and counts as answerable. It runs on the event loop.
 func (s *Server) answerable(suspect *quarantine.Suspect) bool {
 	state := s.replica.State()
 	for _, end := range suspect.Ends {
@@ -132,8 +129,8 @@
 			return true
 		}
 		for id, endpoint := range listed {
-			ended := slices.ContainsFunc(suspect.Ends, func(e quarantine.End) bool { return e.Instance == id })
-			if endpoint.State == distribution.Live && !ended && !state.Orders.Evacuated(endpoint.Zone) {
+			crashed := slices.ContainsFunc(suspect.Ends, func(e quarantine.End) bool { return e.Instance == id })
+			if endpoint.State == distribution.Live && !crashed && !state.Orders.Evacuated(endpoint.Zone) {
 				return true
 			}
 		}
@@ -141,30 +138,30 @@
 	return false
 }
 
-// judgeOnce proposes the verdicts that are due, and returns when to look again.
-func (s *Server) judgeOnce(ctx context.Context, judge *quarantine.Judge) time.Duration {
-	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
+// proposeDueVerdicts proposes the verdicts that are due and returns the delay until the next check.
+func (s *Server) proposeDueVerdicts(ctx context.Context, judge *quarantine.Judge) time.Duration {
+	ctx, cancel := context.WithTimeout(ctx, backgroundProposalTimeout)
 	defer cancel()
 	leading := false
 	var verdicts []quarantine.Verdict
 	var wait time.Duration
-	err := s.inspect(ctx, func(now time.Duration) {
-		leading = s.decidesOnSuspects(now)
+	err := s.runOnLoop(ctx, func(now time.Duration) {
+		leading = s.canDecideSuspects(now)
 		table := s.replica.State().Suspects
 		if !leading {
 			table = nil
 		}
 		verdicts, wait = judge.Due(now, table)
 		if !leading && !s.replica.State().Suspects.Empty() {
-			wait = leadLook
+			wait = leadershipCheckInterval
 		}
 	})
 	if err != nil {
-		return leadLook
+		return leadershipCheckInterval
 	}
 	if len(verdicts) > 0 {
 		_, _ = s.proposeSuspects(ctx, quarantine.Change{Verdicts: verdicts})
-		wait = min(wait, evidenceSpacing)
+		wait = min(wait, evidenceBatchInterval)
 	}
 	return wait
 }
--- a/pkg/control/suspects_test.go
+++ b/pkg/control/suspects_test.go
@@ -14,7 +14,7 @@
 	"github.com/matryer/is"
 )
 
-func endsOf(request string, instances ...string) quarantine.Evidence {
+func crashEvidence(request string, instances ...string) quarantine.Evidence {
 	var evidence quarantine.Evidence
 	for _, instance := range instances {
 		evidence.Ends = append(evidence.Ends, quarantine.End{
@@ -24,11 +24,11 @@
 	return evidence
 }
 
-// standings returns the suspects that nodes know, from the replicated state.
+// standings returns the watchlist of the replicated state: whether each suspect is quarantined.
 func standings(t *testing.T, server *Server) map[quarantine.Fingerprint]bool {
 	t.Helper()
 	known := map[quarantine.Fingerprint]bool{}
-	err := server.inspect(context.Background(), func(time.Duration) {
+	err := server.runOnLoop(context.Background(), func(time.Duration) {
 		if list := server.replica.State().Watchlist; list != nil {
 			for _, entry := range list.Entries {
 				known[entry.Request] = entry.Quarantined
@@ -39,7 +39,7 @@
 	return known
 }
 
-// awaitStanding waits until a suspect is quarantined, or else watched.
+// awaitStanding waits until a suspect is quarantined, or watched if quarantined is false.
 func awaitStanding(t *testing.T, server *Server, request quarantine.Fingerprint, quarantined bool) {
 	t.Helper()
 	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
@@ -47,21 +47,21 @@
 			return
 		}
 	}
-	t.Fatalf("%s does not get quarantined=%t", request, quarantined)
+	t.Fatalf("suspect %s did not reach quarantined=%t in time", request, quarantined)
 }
 
-// The leader puts the evidence of several gates together, waits for an answer, and imposes the
-// quarantine; an answer keeps a request that comes often out of it; an operator may lift it.
-func TestLeaderQuarantinesByTheEvidenceOfAllGates(t *testing.T) {
+// The leader must combine the evidence of several gates, quarantine only a request that was never
+// answered, and lift the quarantine when an operator asks for it.
+func TestLeaderCombinesEvidenceOfAllGates(t *testing.T) {
 	is := is.New(t)
-	server := startSingle(t)
+	server := startSingleReplica(t)
 	const fatal, popular = "0123456789abcdef0123456789abcdef01234567", "fedcba9876543210fedcba9876543210fedcba98"
 	for _, instance := range []string{"i1", "i2", "i3"} {
-		server.takeAnnounced(protocol.Announce{Evidence: ptr(endsOf(fatal, instance).Join(endsOf(popular, instance)))})
+		server.handleAnnounce(protocol.Announce{Evidence: ptr(crashEvidence(fatal, instance).Join(crashEvidence(popular, instance)))})
 	}
 	awaitStanding(t, server, popular, false)
 	answer := quarantine.Evidence{Answers: []quarantine.Answer{{Request: popular, Way: quarantine.Way{Caller: "shop", Service: "orders"}}}}
-	server.takeAnnounced(protocol.Announce{Evidence: &answer})
+	server.handleAnnounce(protocol.Announce{Evidence: &answer})
 	awaitStanding(t, server, fatal, true)
 	_, watched := standings(t, server)[popular]
 	is.Equal(watched, false)
@@ -78,38 +78,38 @@
 	is.NoErr(lift(list.Suspects[0].Fingerprint))
 	awaitStanding(t, server, fatal, false)
 	var refused *catalog.OperationError
-	is.True(errors.As(lift(list.Suspects[0].Fingerprint), &refused)) // it is lifted already
+	is.True(errors.As(lift(list.Suspects[0].Fingerprint), &refused)) // it was lifted already
 	is.Equal(refused.Code, catalog.CodeUnknownSuspect)
 }
 
 func ptr[T any](value T) *T { return &value }
 
-// While a replica of an earlier program is among the members, it would pass over the entries, and its
-// revisions would fall behind the others'.
-func TestNoEntriesThatAReplicaDoesNotKnow(t *testing.T) {
+// A member of an earlier release skips entries about suspects, which would make its revisions diverge, so
+// none may be proposed while there is one.
+func TestNoSuspectEntriesWhileAMemberRunsAnEarlierRelease(t *testing.T) {
 	is := is.New(t)
-	server := startSingle(t)
+	server := startSingleReplica(t)
 	var address string
-	err := server.inspect(context.Background(), func(time.Duration) { address = server.replica.Node().Membership().Members[0].Address })
+	err := server.runOnLoop(context.Background(), func(time.Duration) { address = server.replica.Node().Membership().Members[0].Address })
 	is.NoErr(err)
-	server.noteLevel(protocol.Hello{Address: address})
-	server.takeEvidence(endsOf("r", "i1", "i2"))
-	time.Sleep(3 * evidenceSpacing)
+	server.recordReplicaLevel(protocol.Hello{Address: address})
+	server.enqueueEvidence(crashEvidence("r", "i1", "i2"))
+	time.Sleep(3 * evidenceBatchInterval)
 	is.Equal(len(standings(t, server)), 0)
-	server.noteLevel(protocol.Hello{Address: address, KnowsSuspects: true})
-	server.takeEvidence(endsOf("r", "i1", "i2"))
+	server.recordReplicaLevel(protocol.Hello{Address: address, KnowsSuspects: true})
+	server.enqueueEvidence(crashEvidence("r", "i1", "i2"))
 	awaitStanding(t, server, "r", false)
 
-	// Verdicts are such entries, too, the leader's and an operator's.
-	server.takeEvidence(endsOf("r", "i3"))
-	time.Sleep(2 * evidenceSpacing)
-	server.noteLevel(protocol.Hello{Address: address})
+	// Verdicts of the leader and of an operator are such entries, too.
+	server.enqueueEvidence(crashEvidence("r", "i3"))
+	time.Sleep(2 * evidenceBatchInterval)
+	server.recordReplicaLevel(protocol.Hello{Address: address})
 	time.Sleep(1500 * time.Millisecond)
 	is.Equal(standings(t, server), map[quarantine.Fingerprint]bool{"r": false})
-	server.noteLevel(protocol.Hello{Address: address, KnowsSuspects: true})
+	server.recordReplicaLevel(protocol.Hello{Address: address, KnowsSuspects: true})
 	awaitStanding(t, server, "r", true)
-	server.noteLevel(protocol.Hello{Address: address})
-	_, err = server.lift(context.Background(), "r")
+	server.recordReplicaLevel(protocol.Hello{Address: address})
+	_, err = server.liftQuarantine(context.Background(), "r")
 	var refused *catalog.OperationError
 	is.True(errors.As(err, &refused))
 	is.Equal(refused.Code, catalog.CodeUnavailable)
