--- a/pkg/registration/registration.go
+++ b/pkg/registration/registration.go
@@ -1,9 +1,8 @@
-// Package registration knows the back end beside a node from what it says itself: its
-// heartbeats and its word that it leaves. It lets the gate admit calls for it or not, and
-// announces it to the control plane.
+// Package registration tracks the back end beside a node from its heartbeats and its notice that it leaves.
+// It adds the back end to the gate or removes it, and announces it to the control plane.
 //
-// A back end that has said it leaves, or has left, does not come back, but another start under its ID may: a
-// life is known by the ID and the moment of its start, as far as the back end tells it.
+// A back end that drains or has left can't become ready again, but a restart under the same ID can: an
+// incarnation is identified by the ID and the start time, as far as the back end reports one.
 package registration
 
 import (
@@ -15,38 +14,37 @@
 	"bramblelift/pkg/gate"
 )
 
-// State is what a back end says of itself.
+// State is the state that a back end reports. It only advances during one incarnation.
 type State uint8
 
 const (
-	// Ready back ends take calls.
+	// Ready back ends accept calls.
 	Ready State = iota
-	// Draining back ends finish what they have.
+	// Draining back ends complete the calls in flight and accept no new ones.
 	Draining
 	// Gone back ends have left.
 	Gone
 )
 
-// Heartbeat is one word of a back end.
+// Heartbeat is one report of a back end about itself.
 type Heartbeat struct {
 	Service  string
 	ID       string
 	Address  string
 	Zone     string
 	Capacity int
-	// Version is that of the back end's software, empty if it does not say.
+	// Version is the version of the back end's software, empty if not reported.
 	Version string
-	// Cold is for how much longer the back end is cold, zero if it is not.
+	// Cold is how much longer the back end stays cold, zero if it is warm.
 	Cold  time.Duration
 	State State
-	// Sequence grows with each word of a back end; late ones are recognised by it.
+	// Sequence increases with each heartbeat of an incarnation, so that late ones are recognized.
 	Sequence uint64
-	// Born is when the back end started, the zero time if it does not say. Its counts start anew then.
+	// Born is the start time of the back end, the zero time if not reported. Sequence restarts with it.
 	Born time.Time
 }
 
-// incarnation is the number of the life that a heartbeat is from: its start in Unix milliseconds, 1 if that is not
-// known.
+// incarnation returns the start time in Unix milliseconds, or unknownIncarnation.
 func (h Heartbeat) incarnation() uint64 {
 	if h.Born.IsZero() {
 		return unknownIncarnation
@@ -54,63 +52,64 @@
 	return uint64(max(unknownIncarnation, h.Born.UnixMilli()))
 }
 
-// unknownIncarnation is that of back ends that do not say when they started.
+// unknownIncarnation is the incarnation of back ends that report no start time.
 const unknownIncarnation = 1
 
-// Gate is the part of a gate that registration drives.
+// Gate is the part of a gate that a Registry controls.
 type Gate interface {
 	SetBackend(gate.Backend)
 	RemoveBackend(id string)
-	// HeardCold is told with each heartbeat for how much longer a back end is cold.
+	// HeardCold receives how much longer a back end stays cold, on each heartbeat.
 	HeardCold(id string, remaining time.Duration)
 }
 
-// Config sets up a Registry.
+// Config configures a Registry.
 type Config struct {
 	Gate Gate
-	// Service is that of the back ends beside the node.
+	// Service is the service of the back ends beside the node.
 	Service string
-	// GateAddress is announced as the way to the back end.
+	// GateAddress is the address at which other nodes reach the back end's gate.
 	GateAddress string
-	// Changed, if set, is called when there is something new to announce.
+	// Changed, if set, is called when there is a new announcement.
 	Changed func()
-	// OnChange, if set, is told each change, for logs.
+	// OnChange, if set, receives each change, for logs.
 	OnChange func(Heartbeat)
 }
 
-// maxEnded is how many back ends that have left are remembered.
-const maxEnded = 64
+// maxDeparted bounds the remembered incarnations that have left.
+const maxDeparted = 64
 
-// Registry holds the back ends beside one node. It is safe for concurrent use.
+// Registry tracks the back ends beside one node. It is safe for concurrent use.
 type Registry struct {
 	config Config
 
-	mu      sync.Mutex
-	current map[string]*member
-	ended   []endedLife
+	mu       sync.Mutex
+	backends map[string]*registeredBackend
+	departed []incarnationKey
 }
 
-// endedLife is a back end that has left, in this or an earlier life.
-type endedLife struct {
+// incarnationKey identifies one incarnation of a back end.
+type incarnationKey struct {
 	id          string
 	incarnation uint64
 }
 
-type member struct {
+// registeredBackend is a back end with its latest heartbeat.
+type registeredBackend struct {
 	heartbeat Heartbeat
-	// known is set once the control plane is known to show the back end as it is.
-	known bool
+	// acknowledged is set once the control plane's state matches the heartbeat.
+	acknowledged bool
 }
 
 // New returns an empty registry.
 func New(config Config) *Registry {
-	return &Registry{config: config, current: map[string]*member{}}
+	return &Registry{config: config, backends: map[string]*registeredBackend{}}
 }
 
-// Take takes in a heartbeat.
+// Take processes a heartbeat. Late ones are ignored.
 func (r *Registry) Take(h Heartbeat) {
 	r.mu.Lock()
-	changed := r.take(h)
+	changed := r.applyHeartbeat(h)
 	r.mu.Unlock()
 	if !changed {
 		return
@@ -123,51 +122,51 @@
 	}
 }
 
-func (r *Registry) take(h Heartbeat) (changed bool) {
-	if slices.ContainsFunc(r.ended, func(e endedLife) bool { return e.id == h.ID && h.incarnation() <= e.incarnation }) {
+func (r *Registry) applyHeartbeat(h Heartbeat) (changed bool) {
+	if slices.ContainsFunc(r.departed, func(e incarnationKey) bool { return e.id == h.ID && h.incarnation() <= e.incarnation }) {
 		return false
 	}
-	held, found := r.current[h.ID]
-	if found && h.incarnation() < held.heartbeat.incarnation() {
+	entry, found := r.backends[h.ID]
+	if found && h.incarnation() < entry.heartbeat.incarnation() {
 		return false
 	}
-	if !found || h.incarnation() > held.heartbeat.incarnation() {
-		r.replaceOthers(h)
-		r.current[h.ID] = &member{heartbeat: h}
-		r.apply(h)
+	if !found || h.incarnation() > entry.heartbeat.incarnation() {
+		r.removeReplaced(h)
+		r.backends[h.ID] = &registeredBackend{heartbeat: h}
+		r.updateGate(h)
 		r.config.Gate.HeardCold(h.ID, h.Cold)
 		return true
 	}
-	if h.Sequence <= held.heartbeat.Sequence {
+	if h.Sequence <= entry.heartbeat.Sequence {
 		return false
 	}
-	h.State = max(h.State, held.heartbeat.State)
-	changed = h.State != held.heartbeat.State || h.Capacity != held.heartbeat.Capacity
-	held.heartbeat = h
+	h.State = max(h.State, entry.heartbeat.State)
+	changed = h.State != entry.heartbeat.State || h.Capacity != entry.heartbeat.Capacity
+	entry.heartbeat = h
 	if changed {
-		held.known = false
-		r.apply(h)
+		entry.acknowledged = false
+		r.updateGate(h)
 	}
 	r.config.Gate.HeardCold(h.ID, h.Cold)
 	return changed
 }
 
-// Leave takes in that a back end has left, at a time of day: one that is not known here started before.
+// Leave records that a back end left at a time. An unknown back end counts as started before that time.
 func (r *Registry) Leave(id string, at time.Time) {
 	r.mu.Lock()
-	held, found := r.current[id]
+	entry, found := r.backends[id]
 	if !found {
-		held = &member{heartbeat: Heartbeat{ID: id, Service: r.config.Service, Born: at}}
-		r.current[id] = held
+		entry = &registeredBackend{heartbeat: Heartbeat{ID: id, Service: r.config.Service, Born: at}}
+		r.backends[id] = entry
 	}
-	already := held.heartbeat.State == Gone
-	held.heartbeat.State = Gone
-	held.known = false
-	r.apply(held.heartbeat)
-	r.end(held.heartbeat)
-	left := held.heartbeat
+	alreadyGone := entry.heartbeat.State == Gone
+	entry.heartbeat.State = Gone
+	entry.acknowledged = false
+	r.updateGate(entry.heartbeat)
+	r.recordDeparture(entry.heartbeat)
+	left := entry.heartbeat
 	r.mu.Unlock()
-	if already {
+	if alreadyGone {
 		return
 	}
 	if r.config.OnChange != nil {
@@ -178,30 +177,30 @@
 	}
 }
 
-// replaceOthers ends the back ends whose place a new one takes: one of them crashed.
-func (r *Registry) replaceOthers(h Heartbeat) {
-	for id, other := range r.current {
+// removeReplaced removes back ends that crashed and were replaced by a new one at the same address.
+func (r *Registry) removeReplaced(h Heartbeat) {
+	for id, other := range r.backends {
 		if other.heartbeat.Address == h.Address && other.heartbeat.State != Gone {
-			delete(r.current, id)
+			delete(r.backends, id)
 			if id != h.ID {
-				r.end(other.heartbeat)
+				r.recordDeparture(other.heartbeat)
 			}
 		}
 	}
 }
 
-// end remembers that a life is over, for as long as few others end.
-func (r *Registry) end(h Heartbeat) {
-	over := endedLife{id: h.ID, incarnation: h.incarnation()}
-	if !slices.Contains(r.ended, over) {
-		r.ended = append(r.ended, over)
+// recordDeparture remembers an incarnation that left, up to the latest maxDeparted ones.
+func (r *Registry) recordDeparture(h Heartbeat) {
+	key := incarnationKey{id: h.ID, incarnation: h.incarnation()}
+	if !slices.Contains(r.departed, key) {
+		r.departed = append(r.departed, key)
 	}
-	if len(r.ended) > maxEnded {
-		r.ended = r.ended[1:]
+	if len(r.departed) > maxDeparted {
+		r.departed = r.departed[1:]
 	}
 }
 
-func (r *Registry) apply(h Heartbeat) {
+func (r *Registry) updateGate(h Heartbeat) {
 	if h.State == Ready {
 		r.config.Gate.SetBackend(gate.Backend{
 			ID: h.ID, Service: h.Service, Address: h.Address, Capacity: h.Capacity, Zone: h.Zone, Version: h.Version,
@@ -212,15 +211,14 @@
 	r.config.Gate.RemoveBackend(h.ID)
 }
 
-// Announcements returns the back ends that the control plane is not known to show as they
-// are.
+// Announcements returns the back ends whose state the control plane hasn't acknowledged.
 func (r *Registry) Announcements() []distribution.Endpoint {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var all []distribution.Endpoint
-	for _, held := range r.current {
-		if !held.known && held.heartbeat.Service != "" {
-			all = append(all, r.endpoint(held.heartbeat))
+	for _, entry := range r.backends {
+		if !entry.acknowledged && entry.heartbeat.Service != "" {
+			all = append(all, r.endpoint(entry.heartbeat))
 		}
 	}
 	return all
@@ -234,36 +232,36 @@
 	}
 }
 
-// Observe takes in the state that the control plane shows. Before the first heartbeat the
-// node knows its back end from there.
+// Observe processes the endpoints in the control plane's state. While no back end is known, it restores
+// the one registered at this gate.
 func (r *Registry) Observe(table distribution.EndpointTable) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for id, held := range r.current {
-		shown, found := table[held.heartbeat.Service][id]
-		wanted := r.endpoint(held.heartbeat).State
-		same := found && shown.State == wanted && shown.Incarnation >= held.heartbeat.incarnation()
-		held.known = same || (!found && wanted == distribution.Removed)
-		if held.known && wanted == distribution.Removed {
-			delete(r.current, id)
+	for id, entry := range r.backends {
+		listed, found := table[entry.heartbeat.Service][id]
+		announcedState := r.endpoint(entry.heartbeat).State
+		matches := found && listed.State == announcedState && listed.Incarnation >= entry.heartbeat.incarnation()
+		entry.acknowledged = matches || (!found && announcedState == distribution.Removed)
+		if entry.acknowledged && announcedState == distribution.Removed {
+			delete(r.backends, id)
 		}
 	}
-	if len(r.current) == 0 && len(r.ended) == 0 {
-		r.restore(table)
+	if len(r.backends) == 0 && len(r.departed) == 0 {
+		r.restoreFromState(table)
 	}
 }
 
-// restore lets the gate serve the back end that the control plane shows at it.
-func (r *Registry) restore(table distribution.EndpointTable) {
+// restoreFromState adds the live back end that the control plane lists at this gate.
+func (r *Registry) restoreFromState(table distribution.EndpointTable) {
 	for _, endpoints := range table {
-		for _, shown := range endpoints {
-			if shown.Gate == r.config.GateAddress && shown.State == distribution.Live {
-				h := Heartbeat{Service: shown.Service, ID: shown.ID, Address: shown.Address, Zone: shown.Zone, Capacity: shown.Capacity, Version: shown.Version}
-				if shown.Incarnation > unknownIncarnation {
-					h.Born = time.UnixMilli(int64(shown.Incarnation))
+		for _, listed := range endpoints {
+			if listed.Gate == r.config.GateAddress && listed.State == distribution.Live {
+				h := Heartbeat{Service: listed.Service, ID: listed.ID, Address: listed.Address, Zone: listed.Zone, Capacity: listed.Capacity, Version: listed.Version}
+				if listed.Incarnation > unknownIncarnation {
+					h.Born = time.UnixMilli(int64(listed.Incarnation))
 				}
-				r.current[h.ID] = &member{heartbeat: h, known: true}
-				r.apply(h)
+				r.backends[h.ID] = &registeredBackend{heartbeat: h, acknowledged: true}
+				r.updateGate(h)
 			}
 		}
 	}
--- /dev/null
+++ b/pkg/registration/restart_test.go
@@ -0,0 +1,81 @@
+package registration
+
+import (
+	"testing"
+	"time"
+
+	"bramblelift/pkg/distribution"
+
+	"github.com/matryer/is"
+)
+
+var (
+	firstStart  = time.UnixMilli(1_700_000_000_000)
+	secondStart = time.UnixMilli(1_700_000_060_000)
+)
+
+func heartbeatBornAt(id string, born time.Time, sequence uint64, state State) Heartbeat {
+	h := heartbeat(id, sequence, state)
+	h.Born = born
+	return h
+}
+
+// A restart under the same ID must be accepted, with its sequence starting again, and supersede the earlier
+// incarnation.
+func TestRestartedBackEndIsAcceptedUnderItsID(t *testing.T) {
+	for name, intervene := range map[string]func(*Registry){
+		"after a crash":    func(*Registry) {},
+		"after a drain":    func(r *Registry) { r.Take(heartbeatBornAt("a", firstStart, 501, Draining)) },
+		"after it left":    func(r *Registry) { r.Leave("a", firstStart.Add(time.Second)) },
+		"shown as removed": func(r *Registry) { r.Leave("a", firstStart.Add(time.Second)); r.Observe(committedEndpoints(r)) },
+	} {
+		t.Run(name, func(t *testing.T) {
+			is := is.New(t)
+			r, g := newRegistry()
+			r.Take(heartbeatBornAt("a", firstStart, 500, Ready))
+			table := committedEndpoints(r)
+			r.Observe(table)
+			intervene(r)
+			r.Take(heartbeatBornAt("a", secondStart, 3, Ready))
+			is.Equal(g.updates[len(g.updates)-1], "set a 6")
+			is.True(len(g.updates) >= 2)
+			announced := r.Announcements()
+			is.Equal(len(announced), 1)
+			is.Equal(announced[0].State, distribution.Live)
+			state := (&distribution.State{Endpoints: table}).ChangeEndpoints(announced)
+			is.Equal(state.Endpoints["s"]["a"].Incarnation, uint64(secondStart.UnixMilli())) // it supersedes the earlier incarnation
+			r.Observe(state.Endpoints)
+			is.Equal(len(r.Announcements()), 0)
+			r.Take(heartbeatBornAt("a", firstStart, 600, Draining)) // late, from the earlier incarnation
+			r.Take(heartbeatBornAt("a", secondStart, 2, Draining))  // late, from this incarnation
+			is.Equal(len(r.Announcements()), 0)
+			r.Take(heartbeatBornAt("a", secondStart, 4, Draining))
+			is.Equal(r.Announcements()[0].State, distribution.Leaving)
+		})
+	}
+}
+
+// A late heartbeat must not bring back an incarnation that left, even if this node hadn't known it.
+func TestDepartedIncarnationStaysGone(t *testing.T) {
+	is := is.New(t)
+	r, g := newRegistry()
+	r.Leave("a", firstStart.Add(time.Second))
+	r.Take(heartbeatBornAt("a", firstStart, 9, Ready))
+	is.Equal(g.updates, []string{"remove a"})
+	r.Take(heartbeatBornAt("a", secondStart, 1, Ready))
+	is.Equal(g.updates, []string{"remove a", "set a 6"})
+}
+
+// A restarted node must restore the incarnation from the control plane and reject heartbeats of earlier ones.
+func TestRestartedNodeRestoresTheIncarnation(t *testing.T) {
+	is := is.New(t)
+	r, _ := newRegistry()
+	r.Take(heartbeatBornAt("a", secondStart, 1, Ready))
+	restarted, g := newRegistry()
+	restarted.Observe(committedEndpoints(r))
+	is.Equal(g.updates, []string{"set a 6"})
+	restarted.Take(heartbeatBornAt("a", firstStart, 800, Draining))
+	restarted.Take(heartbeatBornAt("a", secondStart, 2, Ready))
+	is.Equal(g.updates, []string{"set a 6"})
+	is.Equal(len(restarted.Announcements()), 0)
+}
