--- a/pkg/machinelist/machinelist.go
+++ b/pkg/machinelist/machinelist.go
@@ -1,6 +1,5 @@
-// Package machinelist reads the platform's list of machines and decides what in it is
-// news. The list lags: it may show a machine as live that is known to leave, or not at
-// all although it serves.
+// Package machinelist reads the platform's machine list and computes the changes of endpoints from it. The
+// list lags: it may show a leaving machine as live, or omit one that serves.
 package machinelist
 
 import (
@@ -17,7 +16,7 @@
 	"bramblelift/pkg/distribution"
 )
 
-// Machine is one entry of the list.
+// Machine describes one back end in the list.
 type Machine struct {
 	Service     string `json:"service"`
 	ID          string `json:"id"`
@@ -27,7 +26,7 @@
 	Leaving     bool   `json:"leaving"`
 }
 
-// List is the platform's answer.
+// List is the response of the platform.
 type List struct {
 	Machines []Machine `json:"machines"`
 }
@@ -35,68 +34,67 @@
 const (
 	maxListBytes = 32 << 20
 	fetchTimeout = 2 * time.Second
-	// missesToRemove is in how many lists in a row a machine must be missing.
-	missesToRemove = 8
+	// removeAfterMisses is the number of consecutive lists that must miss a machine before it is removed.
+	removeAfterMisses = 8
 )
 
-// Reader reads the list. It remembers the last one and asks for a newer one only, as
-// HTTP allows (RFC 9110, 13.1.2): a list of thousands is long and mostly unchanged. It is
-// not safe for concurrent use.
+// Reader reads the list. It keeps the latest one and revalidates it with its entity tag (RFC 9110, 13.1.2),
+// because a list of thousands of machines rarely changes. It is not safe for concurrent use.
 type Reader struct {
 	client *http.Client
 	url    string
-	// tag is the server's name for last, empty if it gave none.
-	tag  string
+	// etag is the entity tag of last, empty if the server sent none.
+	etag string
 	last List
 }
 
-// NewReader returns a reader of the list at a URL.
+// NewReader returns a reader for the list at a URL.
 func NewReader(client *http.Client, url string) *Reader {
 	return &Reader{client: client, url: url}
 }
 
-// Read returns the list as the platform has it now.
+// Read returns the platform's current list.
 func (r *Reader) Read(ctx context.Context) (List, error) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, r.url, nil)
 	if err != nil {
-		return List{}, fmt.Errorf("platform list %s: %w", r.url, err)
+		return List{}, fmt.Errorf("build request for platform list %s: %w", r.url, err)
 	}
-	if r.tag != "" {
-		request.Header.Set("If-None-Match", r.tag)
+	if r.etag != "" {
+		request.Header.Set("If-None-Match", r.etag)
 	}
 	response, err := r.client.Do(request)
 	if err != nil {
-		return List{}, fmt.Errorf("platform list: %w", err)
+		return List{}, fmt.Errorf("fetch platform list: %w", err)
 	}
 	defer response.Body.Close()
-	if response.StatusCode == http.StatusNotModified && r.tag != "" {
+	if response.StatusCode == http.StatusNotModified && r.etag != "" {
 		return r.last, nil
 	}
 	if response.StatusCode != http.StatusOK {
-		return List{}, fmt.Errorf("platform list %s: status %s", r.url, response.Status)
+		return List{}, fmt.Errorf("fetch platform list %s: status %s", r.url, response.Status)
 	}
 	var list List
 	if err := json.NewDecoder(io.LimitReader(response.Body, maxListBytes)).Decode(&list); err != nil {
-		return List{}, fmt.Errorf("platform list %s: %w", r.url, err)
+		return List{}, fmt.Errorf("decode platform list %s: %w", r.url, err)
 	}
-	r.tag, r.last = response.Header.Get("ETag"), list
+	r.etag, r.last = response.Header.Get("ETag"), list
 	return list, nil
 }
 
-// Tracker compares lists with what is held. The zero value is ready.
+// Tracker computes the changes between the known endpoints and successive lists. The zero value is ready to use.
 type Tracker struct {
 	misses map[endpointKey]int
 }
 
 type endpointKey struct{ service, id string }
 
-// Changes returns what a list brings to the held endpoints. An entry with an unusable
-// address is left out. A machine that is missing is removed only after several lists
-// in a row, and never if its service would be left with no live endpoint: an empty or
-// cut list must not empty a pool.
-func (t *Tracker) Changes(held distribution.EndpointTable, list List) []distribution.Endpoint {
+// Changes returns the endpoints that a list adds to or changes in the current ones. It skips entries with
+// an unusable address. A machine is removed only after it was missing from removeAfterMisses consecutive
+// lists, and never if its service would have no live endpoint left, so that an empty or truncated list
+// can't remove all back ends.
+func (t *Tracker) Changes(current distribution.EndpointTable, list List) []distribution.Endpoint {
 	listed := map[endpointKey]bool{}
 	var changes []distribution.Endpoint
 	for _, machine := range list.Machines {
@@ -105,22 +103,23 @@
 			continue
 		}
 		listed[endpointKey{machine.Service, machine.ID}] = true
-		old, found := held[machine.Service][machine.ID]
+		old, found := current[machine.Service][machine.ID]
 		if !found || endpoint.Supersedes(old) {
 			changes = append(changes, endpoint)
 		}
 	}
-	changes = append(changes, t.missing(held, listed)...)
+	changes = append(changes, t.findMissing(current, listed)...)
 	slices.SortFunc(changes, func(a, b distribution.Endpoint) int {
 		return strings.Compare(a.Service+"\x00"+a.ID, b.Service+"\x00"+b.ID)
 	})
 	return changes
 }
 
-func (t *Tracker) missing(held distribution.EndpointTable, listed map[endpointKey]bool) []distribution.Endpoint {
+// findMissing counts the misses of the current endpoints and returns those to remove.
+func (t *Tracker) findMissing(current distribution.EndpointTable, listed map[endpointKey]bool) []distribution.Endpoint {
 	misses := map[endpointKey]int{}
-	var gone []distribution.Endpoint
-	for service, endpoints := range held {
+	var removed []distribution.Endpoint
+	for service, endpoints := range current {
 		remaining := 0
 		for id, endpoint := range endpoints {
 			if listed[endpointKey{service, id}] && endpoint.State == distribution.Live {
@@ -133,14 +132,14 @@
 				continue
 			}
 			misses[key] = t.misses[key] + 1
-			if misses[key] >= missesToRemove && remaining > 0 {
+			if misses[key] >= removeAfterMisses && remaining > 0 {
 				endpoint.State = distribution.Removed
-				gone = append(gone, endpoint)
+				removed = append(removed, endpoint)
 			}
 		}
 	}
 	t.misses = misses
-	return gone
+	return removed
 }
 
 func (m Machine) endpoint() (distribution.Endpoint, bool) {
--- a/pkg/machinelist/machinelist_test.go
+++ b/pkg/machinelist/machinelist_test.go
@@ -15,7 +15,7 @@
 	return Machine{Service: "s", ID: id, Incarnation: incarnation, Address: "10.0.0.1:80", Leaving: leaving}
 }
 
-func held(endpoints ...distribution.Endpoint) distribution.EndpointTable {
+func endpointTable(endpoints ...distribution.Endpoint) distribution.EndpointTable {
 	table := distribution.EndpointTable{"s": {}}
 	for _, endpoint := range endpoints {
 		table["s"][endpoint.ID] = endpoint
@@ -27,9 +27,9 @@
 	return distribution.Endpoint{Service: "s", ID: id, Incarnation: 1, Address: "10.0.0.1:80"}
 }
 
-func TestChangesAreOnlyNews(t *testing.T) {
+func TestUnchangedMachinesCauseNoChanges(t *testing.T) {
 	is := is.New(t)
-	table := held(live("a"), live("b"))
+	table := endpointTable(live("a"), live("b"))
 	list := List{Machines: []Machine{machine("a", 1, false), machine("b", 1, true), machine("c", 1, false), {Service: "s", ID: "bad", Address: "host:1"}}}
 	changes := (&Tracker{}).Changes(table, list)
 	is.Equal(len(changes), 2)
@@ -37,48 +37,48 @@
 	is.Equal(changes[1].ID, "c")
 }
 
-func TestLaggingListBringsNobodyBack(t *testing.T) {
+func TestLaggingListRevivesNoEndpoint(t *testing.T) {
 	is := is.New(t)
-	gone := live("a")
-	gone.State = distribution.Leaving
-	is.Equal(len((&Tracker{}).Changes(held(gone), List{Machines: []Machine{machine("a", 1, false)}})), 0)
-	is.Equal(len((&Tracker{}).Changes(held(gone), List{Machines: []Machine{machine("a", 2, false)}})), 1)
+	leaving := live("a")
+	leaving.State = distribution.Leaving
+	is.Equal(len((&Tracker{}).Changes(endpointTable(leaving), List{Machines: []Machine{machine("a", 1, false)}})), 0)
+	is.Equal(len((&Tracker{}).Changes(endpointTable(leaving), List{Machines: []Machine{machine("a", 2, false)}})), 1)
 }
 
 func TestMissingMachineIsRemovedOnlyAfterSeveralLists(t *testing.T) {
 	is := is.New(t)
 	tracker := &Tracker{}
-	table := held(live("a"), live("b"))
-	short := List{Machines: []Machine{machine("a", 1, false)}}
-	for range missesToRemove - 1 {
-		is.Equal(len(tracker.Changes(table, short)), 0)
+	table := endpointTable(live("a"), live("b"))
+	truncated := List{Machines: []Machine{machine("a", 1, false)}}
+	for range removeAfterMisses - 1 {
+		is.Equal(len(tracker.Changes(table, truncated)), 0)
 	}
 	full := List{Machines: []Machine{machine("a", 1, false), machine("b", 1, false)}}
-	is.Equal(len(tracker.Changes(table, full)), 0) // it is back: count anew
-	for range missesToRemove - 1 {
-		is.Equal(len(tracker.Changes(table, short)), 0)
+	is.Equal(len(tracker.Changes(table, full)), 0) // its return resets the count
+	for range removeAfterMisses - 1 {
+		is.Equal(len(tracker.Changes(table, truncated)), 0)
 	}
-	changes := tracker.Changes(table, short)
+	changes := tracker.Changes(table, truncated)
 	is.Equal(len(changes), 1)
 	is.Equal(changes[0].State, distribution.Removed)
 }
 
-func TestEmptyListEmptiesNoPool(t *testing.T) {
+func TestEmptyListRemovesNoEndpoint(t *testing.T) {
 	is := is.New(t)
 	tracker := &Tracker{}
-	for range 3 * missesToRemove {
-		is.Equal(len(tracker.Changes(held(live("a"), live("b")), List{})), 0)
+	for range 3 * removeAfterMisses {
+		is.Equal(len(tracker.Changes(endpointTable(live("a"), live("b")), List{})), 0)
 	}
 }
 
-func TestFetchRefusesWhatIsNoList(t *testing.T) {
-	for name, answer := range map[string]http.HandlerFunc{
+func TestReadRejectsInvalidResponses(t *testing.T) {
+	for name, handler := range map[string]http.HandlerFunc{
 		"outage":   func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
 		"nonsense": func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("<html>")) },
 		"cut":      func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(`{"machines":[{"id":"a"`)) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			server := httptest.NewServer(answer)
+			server := httptest.NewServer(handler)
 			defer server.Close()
 			_, err := NewReader(server.Client(), server.URL).Read(context.Background())
 			is.New(t).True(err != nil)
@@ -88,10 +88,10 @@
 
 func TestUnchangedListIsNotSentAgain(t *testing.T) {
 	is := is.New(t)
-	tag, sent := `"one"`, 0
+	etag, sent := `"one"`, 0
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		w.Header().Set("ETag", tag)
-		if r.Header.Get("If-None-Match") == tag {
+		w.Header().Set("ETag", etag)
+		if r.Header.Get("If-None-Match") == etag {
 			w.WriteHeader(http.StatusNotModified)
 			return
 		}
@@ -103,10 +103,10 @@
 	for range 3 {
 		list, err := reader.Read(context.Background())
 		is.NoErr(err)
-		is.Equal(len(list.Machines), 1) // the same list counts as read again
+		is.Equal(len(list.Machines), 1) // Read returns the kept list again
 	}
 	is.Equal(sent, 1)
-	tag = `"two"`
+	etag = `"two"`
 	_, err := reader.Read(context.Background())
 	is.NoErr(err)
 	is.Equal(sent, 2)
