--- a/pkg/operator/api.go
+++ b/pkg/operator/api.go
@@ -1,5 +1,5 @@
-// Package operator defines the calls that operators make of the control plane, and a
-// client that finds the leader and resends safely.
+// Package operator defines the requests of operators to the control plane, and a client that finds the
+// leader and retries safely.
 package operator
 
 import (
@@ -10,7 +10,7 @@
 	"bramblelift/pkg/quarantine"
 )
 
-// Paths of the calls. A version number replaces {version}.
+// Paths of the requests. A version number replaces {version}.
 const (
 	PathVersions     = "/v1/versions"
 	PathPublications = "/v1/publications"
@@ -20,29 +20,29 @@
 	PathSuspects     = "/v1/suspects"
 	PathZones        = "/v1/zones"
 	PathTenants      = "/v1/tenants"
-	// PathEvacuations goes before the name of a zone.
+	// PathEvacuations is followed by the name of a zone.
 	PathEvacuations = "/v1/evacuations/"
 )
 
-// CreateRequest makes a version. Just one of TOML, Source and FromVersion is set.
+// CreateRequest creates a version. Exactly one of TOML, Source and FromVersion is set.
 type CreateRequest struct {
 	OperationID  string  `json:"operation_id"`
 	ExpectedHead *uint64 `json:"expected_head,omitempty"`
 	// TOML is the text of a bundle file, FileName its name for error messages.
 	TOML     string `json:"toml,omitempty"`
 	FileName string `json:"file_name,omitempty"`
-	// Source names a bundle at the configuration source.
+	// Source is the name of a bundle at the configuration source.
 	Source string `json:"source,omitempty"`
-	// FromVersion copies an earlier version's content.
+	// FromVersion is the earlier version whose content is copied.
 	FromVersion uint64 `json:"from_version,omitempty"`
-	// HandBack, if set, replaces the content's own.
+	// HandBack, if set, replaces the field of the content.
 	HandBack *bool `json:"hand_back,omitempty"`
 }
 
-// PublishRequest makes, signs off and rolls a version in one act, where the settings accept
-// that. Sent again unchanged it changes nothing.
+// PublishRequest creates, approves and rolls a version in one step, if the settings allow that. It is
+// idempotent.
 type PublishRequest struct {
-	// Base is the version that it builds on, zero for none, Version its own number.
+	// Base is the version that it builds on, zero for none; Version is its own number.
 	Base    uint64 `json:"base"`
 	Version uint64 `json:"version"`
 	// TOML is the text of a bundle file, FileName its name for error messages.
@@ -50,18 +50,18 @@
 	FileName string `json:"file_name,omitempty"`
 }
 
-// ApproveRequest signs a version off.
+// ApproveRequest approves a version.
 type ApproveRequest struct {
 	OperationID string          `json:"operation_id"`
 	Approval    bundle.Approval `json:"approval"`
 }
 
-// RollRequest puts a version into force.
+// RollRequest makes a version the active one.
 type RollRequest struct {
 	OperationID string `json:"operation_id"`
 }
 
-// VersionSummary is one line of the list of versions.
+// VersionSummary describes one version in a VersionList.
 type VersionSummary struct {
 	Manifest       bundle.Manifest `json:"manifest"`
 	Status         catalog.Status  `json:"status"`
@@ -72,14 +72,15 @@
 	RolledMillis   int64           `json:"rolled_millis,omitempty"`
 }
 
-// VersionList answers a list call; newest first.
+// VersionList is the response to a request for all versions, newest first.
 type VersionList struct {
 	Head     uint64           `json:"head"`
 	Active   uint64           `json:"active"`
 	Versions []VersionSummary `json:"versions"`
 }
 
-// ReplicaStatus describes one control replica as the leader sees it.
+// ReplicaStatus describes one control replica as the leader sees it. Match is its last log index known to be
+// replicated.
 type ReplicaStatus struct {
 	Name    string `json:"name"`
 	ID      uint64 `json:"id"`
@@ -96,7 +97,7 @@
 	Leader  string `json:"leader"`
 	Term    uint64 `json:"term"`
 	Commit  uint64 `json:"commit"`
-	// DurableCopies counts the voters that hold all that is committed, of Voters.
+	// DurableCopies is the number of voters, out of Voters, that store all committed entries.
 	DurableCopies int             `json:"durable_copies"`
 	Voters        int             `json:"voters"`
 	Head          uint64          `json:"head"`
@@ -105,30 +106,29 @@
 	Revision      uint64          `json:"revision"`
 	LogBytes      int64           `json:"log_bytes"`
 	Replicas      []ReplicaStatus `json:"replicas"`
-	// PlatformError tells why the platform's list could not be read, if so.
+	// PlatformError is the error of the latest read of the platform's list, empty if it succeeded.
 	PlatformError string `json:"platform_error,omitempty"`
 }
 
-// Suspect is a request that back ends had when they ended.
+// Suspect describes a request that was in flight at back ends when they crashed.
 type Suspect struct {
-	// Fingerprint is as logs show it.
+	// Fingerprint is the short form that logs show.
 	Fingerprint string `json:"fingerprint"`
-	// Standing says whether it is kept from back ends, or watched by nodes; otherwise nodes do not
-	// know of it.
+	// Standing is the state of the request: nodes reject it if quarantined, and observe it if watched.
+	// Otherwise it isn't on their watchlist.
 	Standing string `json:"standing"`
-	// Ends are the back ends that ended, the newest last; Void ones do not count, since an answer
-	// came after them.
+	// Ends are the crashes of back ends, the newest last. Void ones don't count because a response followed.
 	Ends []quarantine.End `json:"ends"`
-	// Terms is how often a quarantine of it has run out.
+	// Terms is how often a quarantine of the request has expired.
 	Terms int `json:"terms"`
 }
 
-// SuspectList answers a call for all suspects.
+// SuspectList is the response to a request for all suspects.
 type SuspectList struct {
 	Suspects []Suspect `json:"suspects"`
 }
 
-// Node describes one node as a control replica last heard of it.
+// Node describes one node by the latest report that a control replica received.
 type Node struct {
 	Name      string `json:"name"`
 	Group     string `json:"group"`
@@ -137,16 +137,16 @@
 	Staged    uint64 `json:"staged"`
 	Revision  uint64 `json:"revision"`
 	Connected bool   `json:"connected"`
-	// HeardMillis is when, in Unix milliseconds.
+	// HeardMillis is the time of the report in Unix milliseconds.
 	HeardMillis int64 `json:"heard_millis"`
-	// Closed is the state of the node's gate while orders keep it closed.
+	// Closed is the state of the node's gate, set only while orders keep it closed.
 	Closed *ClosedGate `json:"closed,omitempty"`
 }
 
-// ClosedGate is the state of a gate that gets nothing new.
+// ClosedGate describes a gate that admits no new calls.
 type ClosedGate struct {
 	Reason string `json:"reason"`
-	// Running are the calls that are still at work behind it.
+	// Running is the number of calls still in flight at the back end.
 	Running int `json:"running"`
 }
 
@@ -154,16 +154,16 @@
 type Zone struct {
 	Name   string `json:"name"`
 	Region string `json:"region,omitempty"`
-	// Evacuated is set while its back ends get nothing new, since EvacuatedMillis by the clock of the
-	// leader of that time, in Unix milliseconds.
+	// Evacuated is set while the zone's back ends receive no new calls. EvacuatedMillis is the time of the
+	// order in Unix milliseconds, by the clock of the replica that received it.
 	Evacuated       bool  `json:"evacuated"`
 	EvacuatedMillis int64 `json:"evacuated_millis,omitempty"`
-	// Backends are those that would take calls otherwise, Leaving those that leave.
+	// Backends counts the live back ends, also of an evacuated zone; Leaving counts the leaving ones.
 	Backends int `json:"backends"`
 	Leaving  int `json:"leaving"`
 }
 
-// ZoneList answers a call for all zones, by name.
+// ZoneList is the response to a request for all zones, sorted by name.
 type ZoneList struct {
 	Zones []Zone `json:"zones"`
 }
@@ -171,38 +171,38 @@
 // Tenant describes one tenant as the leader knows it.
 type Tenant struct {
 	Name string `json:"name"`
-	// Keys is how many it has.
+	// Keys is the number of the tenant's keys.
 	Keys int `json:"keys"`
-	// Rate, in calls a second, and Burst are its limit; a rate of zero is none.
+	// Rate, in calls per second, and Burst are the tenant's limit. A rate of zero is unlimited.
 	Rate     float64  `json:"rate"`
 	Burst    float64  `json:"burst"`
 	Priority int      `json:"priority"`
 	Regions  []string `json:"regions,omitempty"`
-	// Asked is how many calls a second come at all nodes, Used how many were let in during the last window.
+	// Asked is the rate of calls per second at all nodes, Used the number admitted during the last window.
 	Asked float64 `json:"asked"`
 	Used  float64 `json:"used"`
-	// Limited is set while nodes keep to what is allotted, in calls a second.
+	// Limited is set while nodes enforce Allotted, in calls per second.
 	Limited  bool    `json:"limited"`
 	Allotted float64 `json:"allotted"`
 }
 
-// TenantList answers a call for all tenants, those that use most first.
+// TenantList is the response to a request for all tenants, sorted by use in descending order.
 type TenantList struct {
-	// Leader allots to Nodes nodes by what they used in a window.
+	// Leader is the name of the replica that allocates to Nodes nodes, by their use during Window.
 	Leader  string        `json:"leader"`
 	Nodes   int           `json:"nodes"`
 	Window  time.Duration `json:"window"`
 	Tenants []Tenant      `json:"tenants"`
 }
 
-// OrderResult answers an order that is in force.
+// OrderResult is the response to an order that was committed.
 type OrderResult struct {
 	Zone      string `json:"zone"`
 	Evacuated bool   `json:"evacuated"`
 	Revision  uint64 `json:"revision"`
 }
 
-// Change is one line of a diff. Secrets show as digests.
+// Change is one difference between two contents. Secrets appear as digests.
 type Change struct {
 	Kind   string `json:"kind"`
 	Name   string `json:"name"`
--- a/pkg/operator/client.go
+++ b/pkg/operator/client.go
@@ -17,47 +17,46 @@
 
 // Bounds of the client.
 const (
-	maxAnswerBytes = 64 << 20
-	// firstAttemptTimeout bounds each replica's answer in the first round: a frozen one
-	// must not keep an operator from the others. A resend under the same operation ID
-	// is harmless.
+	maxResponseBytes = 64 << 20
+	// firstAttemptTimeout bounds the first request to each replica, so that an unresponsive one doesn't
+	// delay the others. A resend under the same operation ID is harmless.
 	firstAttemptTimeout = 1500 * time.Millisecond
 	attemptTimeout      = 5 * time.Second
 	retryPause          = 200 * time.Millisecond
 )
 
-// Client calls the control replicas, one after another, until the leader answers.
+// Client sends requests to the control replicas in turn until the leader responds. It isn't safe for
+// concurrent use.
 type Client struct {
 	addresses []string
 	http      *http.Client
 	next      int
 }
 
-// NewClient returns a client for the operators' addresses of the control replicas.
+// NewClient returns a client for the operator addresses of the control replicas.
 func NewClient(addresses []string) *Client {
 	return &Client{addresses: addresses, http: &http.Client{Timeout: attemptTimeout}}
 }
 
-// NewOperationID draws an ID under which a request may be resent.
+// NewOperationID returns a random ID under which a request may be resent.
 func NewOperationID() string {
 	var raw [16]byte
 	_, _ = rand.Read(raw[:])
 	return hex.EncodeToString(raw[:])
 }
 
-// Do sends a request until a leader has answered or the context ends. The request is
-// the same each time, so it must carry an operation ID if it changes anything. It
-// pauses only after every replica was asked in vain. A refusal is a
-// *catalog.OperationError.
-func (c *Client) Do(ctx context.Context, method, path string, request, answer any) error {
+// Do sends a request until a leader responds or the context ends, and decodes the response into result. A
+// request that changes anything must carry an operation ID, since it is resent unchanged. Do pauses only
+// after a round over all replicas. A rejection is a *catalog.OperationError.
+func (c *Client) Do(ctx context.Context, method, path string, request, result any) error {
 	body, err := json.Marshal(request)
 	if err != nil {
-		return fmt.Errorf("encode request: %w", err)
+		return fmt.Errorf("encode request body: %w", err)
 	}
 	for attempts := 1; ; attempts++ {
 		address := c.addresses[c.next%len(c.addresses)]
-		err := c.attemptWithin(ctx, timeoutOf(attempts, len(c.addresses)), method, "http://"+address+path, body, answer)
-		if err == nil || !worthRetrying(err) {
+		err := c.attemptWithTimeout(ctx, timeoutForAttempt(attempts, len(c.addresses)), method, "http://"+address+path, body, result)
+		if err == nil || !isRetryable(err) {
 			return err
 		}
 		c.next++
@@ -72,64 +71,65 @@
 	}
 }
 
-// Each asks every replica once and hands the answers over; it returns how many
-// answered.
-func (c *Client) Each(ctx context.Context, path string, take func(answer []byte) error) (int, error) {
-	answered := 0
-	var last error
+// Each sends a GET request to every replica once and passes each response to handle. It returns the number
+// of responses, and the last error if there were none.
+func (c *Client) Each(ctx context.Context, path string, handle func(response []byte) error) (int, error) {
+	responses := 0
+	var lastErr error
 	for _, address := range c.addresses {
 		var raw json.RawMessage
 		if err := c.attempt(ctx, http.MethodGet, "http://"+address+path, nil, &raw); err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
-		if err := take(raw); err != nil {
-			return answered, err
+		if err := handle(raw); err != nil {
+			return responses, err
 		}
-		answered++
+		responses++
 	}
-	if answered == 0 {
-		return 0, last
+	if responses == 0 {
+		return 0, lastErr
 	}
-	return answered, nil
+	return responses, nil
 }
 
-// transportError is a failure in which it is open whether the call arrived.
+// transportError is a failure after which it is unknown whether the request was received.
 type transportError struct{ error }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e transportError) Unwrap() error { return e.error }
 
-func worthRetrying(err error) bool {
+// isRetryable reports whether another replica or a resend may succeed.
+func isRetryable(err error) bool {
 	var transport transportError
 	if errors.As(err, &transport) {
 		return true
 	}
-	var refused *catalog.OperationError
-	if errors.As(err, &refused) {
-		return refused.Code == catalog.CodeUnavailable || refused.Code == catalog.CodeUnknownOutcome
+	var rejection *catalog.OperationError
+	if errors.As(err, &rejection) {
+		return rejection.Code == catalog.CodeUnavailable || rejection.Code == catalog.CodeUnknownOutcome
 	}
 	return false
 }
 
-// timeoutOf returns how long an attempt may take; attempts count from one.
-func timeoutOf(attempt, replicas int) time.Duration {
+// timeoutForAttempt returns the timeout of an attempt, which counts from one.
+func timeoutForAttempt(attempt, replicas int) time.Duration {
 	if attempt <= replicas {
 		return firstAttemptTimeout
 	}
 	return attemptTimeout
 }
 
-func (c *Client) attemptWithin(ctx context.Context, timeout time.Duration, method, url string, body []byte, answer any) error {
+func (c *Client) attemptWithTimeout(ctx context.Context, timeout time.Duration, method, url string, body []byte, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	return c.attempt(ctx, method, url, body, answer)
+	return c.attempt(ctx, method, url, body, result)
 }
 
-func (c *Client) attempt(ctx context.Context, method, url string, body []byte, answer any) error {
+func (c *Client) attempt(ctx context.Context, method, url string, body []byte, result any) error {
 	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
-		return fmt.Errorf("make request for %s: %w", url, err)
+		return fmt.Errorf("build request for %s: %w", url, err)
 	}
 	request.Header.Set("Content-Type", "application/json")
 	response, err := c.http.Do(request)
@@ -137,23 +137,24 @@
 		return transportError{fmt.Errorf("call %s: %w", url, err)}
 	}
 	defer response.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return transportError{fmt.Errorf("read answer of %s: %w", url, err)}
+		return transportError{fmt.Errorf("read response of %s: %w", url, err)}
 	}
 	if response.StatusCode != http.StatusOK {
-		return refusalOf(url, response.Status, data)
+		return decodeRejection(url, response.Status, data)
 	}
-	if err := json.Unmarshal(data, answer); err != nil {
-		return fmt.Errorf("decode answer of %s: %w", url, err)
+	if err := json.Unmarshal(data, result); err != nil {
+		return fmt.Errorf("decode response of %s: %w", url, err)
 	}
 	return nil
 }
 
-func refusalOf(url, status string, data []byte) error {
-	var refused catalog.OperationError
-	if json.Unmarshal(data, &refused) == nil && refused.Code != "" {
-		return &refused
+// decodeRejection returns the operation error in a response, or an error with the status.
+func decodeRejection(url, status string, data []byte) error {
+	var rejection catalog.OperationError
+	if json.Unmarshal(data, &rejection) == nil && rejection.Code != "" {
+		return &rejection
 	}
 	return fmt.Errorf("call %s: status %s", url, status)
 }
--- a/pkg/operator/client_test.go
+++ b/pkg/operator/client_test.go
@@ -15,8 +15,8 @@
 	"github.com/matryer/is"
 )
 
-// replicaAt answers as a leader, or refuses as a follower does.
-func replicaAt(t *testing.T, leads bool) string {
+// startReplica starts a server that responds as a leader, or rejects requests as a follower.
+func startReplica(t *testing.T, leads bool) string {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if leads {
 			_ = json.NewEncoder(w).Encode(VersionList{Head: 7})
@@ -29,34 +29,33 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// A client that meets followers first must not wait between them: the wait was 400 ms of
-// every roll.
-func TestClientAsksEveryReplicaBeforeItPauses(t *testing.T) {
+// Guards against a pause between followers, which delayed every request that didn't reach the leader first.
+func TestClientTriesEveryReplicaBeforeItPauses(t *testing.T) {
 	is := is.New(t)
-	client := NewClient([]string{replicaAt(t, false), replicaAt(t, false), replicaAt(t, true)})
+	client := NewClient([]string{startReplica(t, false), startReplica(t, false), startReplica(t, true)})
 	var list VersionList
 	started := time.Now()
 	is.NoErr(client.Do(context.Background(), http.MethodGet, PathVersions, nil, &list))
 	is.Equal(list.Head, uint64(7))
-	is.True(time.Since(started) < retryPause) // no pause before all were asked
+	is.True(time.Since(started) < retryPause) // no pause before every replica was asked
 }
 
-func TestClientEndsWithItsContext(t *testing.T) {
+func TestClientStopsWhenContextEnds(t *testing.T) {
 	is := is.New(t)
-	client := NewClient([]string{replicaAt(t, false)})
+	client := NewClient([]string{startReplica(t, false)})
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
 	err := client.Do(ctx, http.MethodGet, PathVersions, nil, &VersionList{})
 	is.True(err != nil && strings.Contains(err.Error(), "no leader answered"))
 }
 
-// A replica that takes connections and answers nothing, as a frozen process does.
-func TestFrozenReplicaDoesNotHoldAnOperatorUp(t *testing.T) {
+// Guards against waiting for a replica that accepts connections but never responds, like a frozen process.
+func TestFrozenReplicaDoesNotBlockTheClient(t *testing.T) {
 	is := is.New(t)
-	frozen, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	defer frozen.Close()
-	client := NewClient([]string{frozen.Addr().String(), replicaAt(t, true)})
+	defer listener.Close()
+	client := NewClient([]string{listener.Addr().String(), startReplica(t, true)})
 	var list VersionList
 	started := time.Now()
 	is.NoErr(client.Do(context.Background(), http.MethodGet, PathVersions, nil, &list))
--- a/pkg/operator/diff.go
+++ b/pkg/operator/diff.go
@@ -6,33 +6,33 @@
 	"bramblelift/pkg/bundle"
 )
 
-// DiffContents lists what changed between two contents, without secret values; keys show as digests.
+// DiffContents lists the differences between two contents. Secrets and keys appear as digests.
 func DiffContents(old, next bundle.Content) []Change {
 	delta := bundle.Diff(old, next)
 	var changes []Change
 	if old.HandBack != next.HandBack {
-		changes = append(changes, Change{Kind: "bundle", Name: "hand_back", Action: "changed", Before: text(old.HandBack), After: text(next.HandBack)})
+		changes = append(changes, Change{Kind: "bundle", Name: "hand_back", Action: "changed", Before: encodeJSON(old.HandBack), After: encodeJSON(next.HandBack)})
 	}
 	for _, route := range delta.Routes {
 		before, found := findRoute(old, route.Name)
-		changes = append(changes, changed("route", route.Name, found, text(before), text(route)))
+		changes = append(changes, changeOf("route", route.Name, found, encodeJSON(before), encodeJSON(route)))
 	}
 	for _, service := range delta.Services {
 		before, found := old.Service(service.Name)
-		changes = append(changes, changed("service", service.Name, found, text(before), text(service)))
+		changes = append(changes, changeOf("service", service.Name, found, encodeJSON(before), encodeJSON(service)))
 	}
 	for _, secret := range delta.Secrets {
 		before, found := old.Secret(secret.Name)
-		changes = append(changes, changed("secret", secret.Name, found, before.ShortDigest(), secret.ShortDigest()))
+		changes = append(changes, changeOf("secret", secret.Name, found, before.ShortDigest(), secret.ShortDigest()))
 	}
 	for _, tenant := range delta.Tenants {
 		before, found := old.Tenant(tenant.Name)
-		changes = append(changes, changed("tenant", tenant.Name, found, text(before), text(tenant)))
+		changes = append(changes, changeOf("tenant", tenant.Name, found, encodeJSON(before), encodeJSON(tenant)))
 	}
-	changes = append(changes, removed("route", delta.RemovedRoutes)...)
-	changes = append(changes, removed("service", delta.RemovedServices)...)
-	changes = append(changes, removed("secret", delta.RemovedSecrets)...)
-	return append(changes, removed("tenant", delta.RemovedTenants)...)
+	changes = append(changes, removals("route", delta.RemovedRoutes)...)
+	changes = append(changes, removals("service", delta.RemovedServices)...)
+	changes = append(changes, removals("secret", delta.RemovedSecrets)...)
+	return append(changes, removals("tenant", delta.RemovedTenants)...)
 }
 
 func findRoute(content bundle.Content, name string) (bundle.Route, bool) {
@@ -44,14 +44,14 @@
 	return bundle.Route{}, false
 }
 
-func changed(kind, name string, existed bool, before, after string) Change {
-	if !existed {
+func changeOf(kind, name string, found bool, before, after string) Change {
+	if !found {
 		return Change{Kind: kind, Name: name, Action: "added", After: after}
 	}
 	return Change{Kind: kind, Name: name, Action: "changed", Before: before, After: after}
 }
 
-func removed(kind string, names []string) []Change {
+func removals(kind string, names []string) []Change {
 	var changes []Change
 	for _, name := range names {
 		changes = append(changes, Change{Kind: kind, Name: name, Action: "removed"})
@@ -59,7 +59,7 @@
 	return changes
 }
 
-func text(value any) string {
+func encodeJSON(value any) string {
 	encoded, err := json.Marshal(value)
 	if err != nil {
 		return err.Error()
--- a/pkg/operator/rollout.go
+++ b/pkg/operator/rollout.go
@@ -6,76 +6,75 @@
 	"bramblelift/pkg/rollout"
 )
 
-// PathRollouts lists rollouts and takes orders; a service's name follows it for one of them, and then
-// RolloutStop or RolloutHistory.
+// PathRollouts lists rollouts and accepts orders. For one rollout it is followed by the name of the service
+// and then RolloutStop or RolloutHistory.
 const (
 	PathRollouts   = "/v1/rollouts"
 	RolloutStop    = "/stop"
 	RolloutHistory = "/history"
 )
 
-// RolloutRequest orders a rollout. Sent again unchanged it changes nothing.
+// RolloutRequest orders a rollout. It is idempotent.
 type RolloutRequest struct {
 	Service  string        `json:"service"`
 	Version  string        `json:"version"`
 	Duration time.Duration `json:"duration"`
 }
 
-// Rollout is a service's newest rollout.
+// Rollout describes a service's newest rollout.
 type Rollout struct {
 	rollout.Rollout
-	// State is the phase's name, Granted the calls that the new version's gates were allowed to let in so
-	// far.
+	// State is the name of the phase, Granted the number of calls that gates of the new version were
+	// allowed to admit so far.
 	State   string `json:"state"`
 	Granted uint64 `json:"granted"`
-	// Seen is what the leader goes by, or went by last, nil if it does not know.
+	// Seen is the leader's latest observation, nil if there is none.
 	Seen *RolloutSeen `json:"seen,omitempty"`
 }
 
-// RolloutList answers a call for all rollouts.
+// RolloutList is the response to a request for all rollouts.
 type RolloutList struct {
 	Rollouts []Rollout `json:"rollouts"`
 }
 
-// RolloutSide is what the gates of one side of a rollout have told since the order.
+// RolloutSide sums the reports of the gates of the old or the new version since the order.
 type RolloutSide struct {
 	Admitted uint64 `json:"admitted,omitempty"`
 	Answered uint64 `json:"answered"`
 	Failed   uint64 `json:"failed"`
-	// Median is that of how long answers took, up to the width of the buckets that gates count in.
+	// Median is the median response time, rounded up to a bucket boundary of the gates' histograms.
 	Median time.Duration `json:"median"`
 }
 
-// RolloutRoute is one route's part in it.
+// RolloutRoute describes one route's calls during a rollout.
 type RolloutRoute struct {
 	Route string      `json:"route"`
 	New   RolloutSide `json:"new"`
 	Old   RolloutSide `json:"old"`
 }
 
-// RolloutSeen is what the leader goes by.
+// RolloutSeen is the leader's observation of a rollout.
 type RolloutSeen struct {
 	New    RolloutSide    `json:"new"`
 	Old    RolloutSide    `json:"old"`
 	Routes []RolloutRoute `json:"routes"`
-	// Nodes are those that were heard of, confirmed if they go by the held step; Gates are those of all
-	// registered back ends of the service.
+	// Nodes counts the nodes that reported, Gates the gates of the live back ends, NodesConfirmed and
+	// GatesConfirmed those that have applied the current step.
 	Nodes          int `json:"nodes"`
 	NodesConfirmed int `json:"nodes_confirmed"`
 	Gates          int `json:"gates"`
 	GatesConfirmed int `json:"gates_confirmed"`
-	// Open are the old back ends that are waited for before the rollout is complete, with the calls that
-	// they still work on.
+	// Open holds the calls in flight of each old back end that the rollout waits for before it completes.
 	Open map[string]int `json:"open,omitempty"`
 }
 
-// RolloutSteps answers a call for the steps of a service's rollouts, the newest last, as far as the replica
-// has seen them since its start.
+// RolloutSteps is the response to a request for the steps of a service's rollouts, the newest last, since
+// the start of the replica.
 type RolloutSteps struct {
 	Steps []Rollout `json:"steps"`
 }
 
-// DescribeRollout returns a rollout for people. seen is nil if nothing is known of it.
+// DescribeRollout returns the response for a rollout. seen is nil if there is no observation.
 func DescribeRollout(r rollout.Rollout, seen *RolloutSeen) Rollout {
 	return Rollout{Rollout: r, State: r.Phase.String(), Granted: r.Exposed(), Seen: seen}
 }
