--- a/pkg/control/announce_test.go
+++ b/pkg/control/announce_test.go
@@ -45,7 +45,7 @@
 func TestAnnouncementsAreBatched(t *testing.T) {
 	is := is.New(t)
 	const nodes = 280
-	more := make(chan []distribution.Endpoint, inboxSize)
+	more := make(chan []distribution.Endpoint, inputQueueSize)
 	for i := range nodes {
 		id := fmt.Sprintf("i-%d", i)
 		more <- []distribution.Endpoint{announcedEndpoint(id, id, distribution.Live)}
--- a/pkg/control/evacuations_test.go
+++ b/pkg/control/evacuations_test.go
@@ -32,9 +32,9 @@
 	}
 	requireCode := func(err error, code catalog.Code) {
 		t.Helper()
-		var refused *catalog.OperationError
-		is.True(errors.As(err, &refused))
-		is.Equal(refused.Code, code)
+		var opErr *catalog.OperationError
+		is.True(errors.As(err, &opErr))
+		is.Equal(opErr.Code, code)
 	}
 	_, err := order(http.MethodPost, "zzz")
 	requireCode(err, catalog.CodeUnknownZone)
--- a/pkg/control/membership.go
+++ b/pkg/control/membership.go
@@ -87,8 +87,8 @@
 	members := node.Membership().Members
 	leader, _ := node.Membership().Find(node.Leader())
 	leading := node.Role() == raft.Leader
-	before := s.membership.Load()
-	if before != nil && before.leader == leader && before.leading == leading && slices.Equal(before.members, members) {
+	previous := s.membership.Load()
+	if previous != nil && previous.leader == leader && previous.leading == leading && slices.Equal(previous.members, members) {
 		return
 	}
 	next := &membershipView{members: slices.Clone(members), leader: leader, leading: leading}
@@ -98,7 +98,7 @@
 		}
 	}
 	s.membership.Store(next)
-	if before != nil && !slices.Equal(before.members, members) {
+	if previous != nil && !slices.Equal(previous.members, members) {
 		s.logger.Log("event", "membership", "members", len(members), "voters", len(next.servers), "commit", node.Commit())
 	}
 }
@@ -108,8 +108,8 @@
 
 // servers returns the voting replicas that nodes may subscribe to, or nil without seeds.
 func (s *Server) servers() []protocol.Server {
-	if known := s.membership.Load(); known != nil && len(s.settings.Seeds) > 0 {
-		return known.servers
+	if view := s.membership.Load(); view != nil && len(s.settings.Seeds) > 0 {
+		return view.servers
 	}
 	return nil
 }
@@ -141,24 +141,24 @@
 // event loop.
 func (s *Server) joinRequest(now time.Duration) raft.Member {
 	node := s.replica.Node()
-	wanted := raft.Member{
+	desired := raft.Member{
 		ID: node.ID(), Name: memberName(s.settings), Zone: s.settings.Zone,
 		Address: ownAddress(s.settings), Interface: s.settings.InterfaceListen,
 	}
 	member, found := node.Membership().Find(node.ID())
 	if !found || member.Learner {
-		return wanted
+		return desired
 	}
 	if len(s.settings.Seeds) == 0 {
 		return raft.Member{}
 	}
-	if member != wanted {
+	if member != desired {
 		// If this replica leads, it handles its own request directly.
-		s.replica.Join(now, wanted)
-		return wanted
+		s.replica.Join(now, desired)
+		return desired
 	}
 	if now-node.HeardLeaderAt(now) > 2*time.Duration(s.settings.ElectionTimeout) {
-		return wanted
+		return desired
 	}
 	return raft.Member{}
 }
@@ -220,11 +220,11 @@
 // LeaderInterface returns the address of the leader's platform interface, empty if unknown, and
 // whether this replica is the leader.
 func (s *Server) LeaderInterface() (address string, self bool) {
-	known := s.membership.Load()
-	if known == nil {
+	view := s.membership.Load()
+	if view == nil {
 		return "", false
 	}
-	return known.leader.Interface, known.leading
+	return view.leader.Interface, view.leading
 }
 
 // serveInterface serves the platform interface until the context ends.
--- a/pkg/control/orders_test.go
+++ b/pkg/control/orders_test.go
@@ -42,9 +42,9 @@
 	first, err := server.Order(context.Background(), evacuate("a"))
 	is.NoErr(err)
 	is.True(currentOrders(t, server).Evacuated("a"))
-	again, err := server.Order(context.Background(), evacuate("a"))
+	resent, err := server.Order(context.Background(), evacuate("a"))
 	is.NoErr(err)
-	is.Equal(again.Revision, first.Revision)
+	is.Equal(resent.Revision, first.Revision)
 	_, err = server.Order(context.Background(), orders.Change{Readmit: "a"})
 	is.NoErr(err)
 	is.True(!currentOrders(t, server).Evacuated("a"))
@@ -59,14 +59,14 @@
 	server := startSingleReplica(t)
 	address := ownReplicaAddress(t, server)
 	server.recordReplicaLevel(protocol.Hello{Address: address, KnowsSuspects: true})
-	refused := func(err error) {
+	requireUnavailable := func(err error) {
 		t.Helper()
-		var refusal *catalog.OperationError
-		is.True(errors.As(err, &refusal))
-		is.Equal(refusal.Code, catalog.CodeUnavailable)
+		var opErr *catalog.OperationError
+		is.True(errors.As(err, &opErr))
+		is.Equal(opErr.Code, catalog.CodeUnavailable)
 	}
 	_, err := server.Order(context.Background(), evacuate("a"))
-	refused(err)
+	requireUnavailable(err)
 	is.True(!currentOrders(t, server).Evacuated("a"))
 
 	content := bundle.Content{
@@ -77,9 +77,9 @@
 	is.Equal(activeService(t, server), bundle.Service{Name: "s"})
 	content.Routes[0].Regions = []string{"east"}
 	regions := Publication{Base: 1, Version: 2, Content: content, Source: []byte("2")}
-	refused(server.Publish(context.Background(), regions))
+	requireUnavailable(server.Publish(context.Background(), regions))
 	content.Routes[0].Regions, content.Routes[0].Kind = nil, bundle.KindDownload
-	refused(server.Publish(context.Background(), Publication{Base: 1, Version: 2, Content: content, Source: []byte("2")}))
+	requireUnavailable(server.Publish(context.Background(), Publication{Base: 1, Version: 2, Content: content, Source: []byte("2")}))
 	is.Equal(activeService(t, server), bundle.Service{Name: "s"})
 
 	server.recordReplicaLevel(protocol.Hello{Address: address, KnowsSuspects: true, Level: catalog.NewestLevel})
--- a/pkg/control/platform.go
+++ b/pkg/control/platform.go
@@ -58,9 +58,9 @@
 
 // recordPlatformError stores the latest poll error and logs when the list becomes unreadable or readable.
 func (s *Server) recordPlatformError(err error) {
-	before := s.platformError.Load()
+	previous := s.platformError.Load()
 	if err == nil {
-		if before != nil {
+		if previous != nil {
 			s.platformError.Store(nil)
 			s.logger.Log("event", "platform_list_readable")
 		}
@@ -68,7 +68,7 @@
 	}
 	text := err.Error()
 	s.platformError.Store(&text)
-	if before == nil {
+	if previous == nil {
 		s.logger.Log("event", "platform_list_unreadable", "error", err)
 	}
 }
--- a/pkg/control/publish.go
+++ b/pkg/control/publish.go
@@ -128,8 +128,8 @@
 	if c.Published(p.Version, sha256.Sum256(p.Source)) {
 		return &catalog.Result{}
 	}
-	if refusal := c.CheckPublish(p.Base, p.Version); refusal != nil {
-		return refusal
+	if rejection := c.CheckPublish(p.Base, p.Version); rejection != nil {
+		return rejection
 	}
 	if invalid == nil {
 		return nil
@@ -137,11 +137,11 @@
 	return &catalog.Result{Error: invalidBundleError(invalid)}
 }
 
-func errorOrNil(refused *catalog.OperationError) error {
-	if refused == nil {
+func errorOrNil(opErr *catalog.OperationError) error {
+	if opErr == nil {
 		return nil
 	}
-	return refused
+	return opErr
 }
 
 // Newest returns the document and number of the newest version, zero if there is none. It fails if a
--- a/pkg/control/quotas.go
+++ b/pkg/control/quotas.go
@@ -41,7 +41,7 @@
 
 func newQuotaCoordinator(s *Server) *quotaCoordinator {
 	policy := s.settings.Quotas.Policy()
-	return &quotaCoordinator{server: s, replica: quota.NewReplica(ownAddress(s.settings), policy), sums: make(chan quota.Sum, inboxSize), limited: map[string]bool{}}
+	return &quotaCoordinator{server: s, replica: quota.NewReplica(ownAddress(s.settings), policy), sums: make(chan quota.Sum, inputQueueSize), limited: map[string]bool{}}
 }
 
 // receive handles the quota parts of another replica's announcement.
--- a/pkg/control/rollout.go
+++ b/pkg/control/rollout.go
@@ -143,7 +143,7 @@
 	return len(c.activeRollouts) > 0
 }
 
-// evaluateAll evaluates the active rollouts, and keeps the latest observation of completed ones.
+// evaluateAll evaluates the active rollouts, and keeps the latest observation of ended ones.
 func (c *rolloutController) evaluateAll(ctx context.Context, now time.Time, state *distribution.State) {
 	var previous map[string]rolloutObservation
 	if current := c.server.rolloutObservations.Load(); current != nil {
@@ -166,7 +166,7 @@
 	number uint64
 }
 
-// syncActive adds newly started rollouts and drops completed or replaced ones.
+// syncActive adds newly started rollouts and drops ended or replaced ones.
 func (c *rolloutController) syncActive(table *orders.Table) {
 	next := map[string]*activeRollout{}
 	for _, current := range table.AllRollouts() {
--- a/pkg/control/rollout_test.go
+++ b/pkg/control/rollout_test.go
@@ -41,9 +41,9 @@
 	is := is.New(t)
 	before := currentOrders(t, server)
 	_, err := server.StartRollout(context.Background(), order)
-	var refused *catalog.OperationError
-	is.True(errors.As(err, &refused))
-	is.Equal(refused.Code, code)
+	var opErr *catalog.OperationError
+	is.True(errors.As(err, &opErr))
+	is.Equal(opErr.Code, code)
 	is.Equal(currentOrders(t, server).AllRollouts(), before.AllRollouts())
 }
 
@@ -135,9 +135,9 @@
 	is := is.New(t)
 	server := startWithVersions(t, "v1")
 	_, err := server.StopRollout(context.Background(), "orders")
-	var refused *catalog.OperationError
-	is.True(errors.As(err, &refused))
-	is.Equal(refused.Code, catalog.CodeNoRollout)
+	var opErr *catalog.OperationError
+	is.True(errors.As(err, &opErr))
+	is.Equal(opErr.Code, catalog.CodeNoRollout)
 }
 
 // The leader must grant calls to gates of the new version, based on the reports of all gates.
--- a/pkg/control/server.go
+++ b/pkg/control/server.go
@@ -30,17 +30,17 @@
 
 // Buffer sizes, limits and timeouts of the daemon.
 const (
-	maxAppendBytes   = 1 << 20
-	keepEntries      = 1000
-	compactAfter     = 4000
-	compactBytes     = 16 << 20
-	maxClockDrift    = 0.05
-	inboxSize        = 1024
-	maxBatchedEvents = 256
-	maxLoopWait      = 50 * time.Millisecond
-	peerWriteTimeout = 2 * time.Second
-	handshakeTimeout = 3 * time.Second
-	relaySilence     = 5 * time.Second
+	maxAppendBytes      = 1 << 20
+	keepEntries         = 1000
+	compactAfter        = 4000
+	compactBytes        = 16 << 20
+	maxClockDrift       = 0.05
+	inputQueueSize      = 1024
+	maxBatchedEvents    = 256
+	maxLoopWait         = 50 * time.Millisecond
+	peerWriteTimeout    = 2 * time.Second
+	handshakeTimeout    = 3 * time.Second
+	relaySilenceTimeout = 5 * time.Second
 	// admissionRate (per second) and admissionBurst limit new subscribers. Both cover the nodes of several
 	// zones reconnecting to one replica, which is cheap because their first state is encoded once.
 	admissionRate  = 200
@@ -114,13 +114,13 @@
 // member of its name. newInterface, if not nil, creates the handler of settings.InterfaceListen.
 func New(config settings.Control, logger log.Logger, newInterface func(*Server) http.Handler) (*Server, error) {
 	s := &Server{
-		newInterface: newInterface, endpointQueue: make(chan []distribution.Endpoint, inboxSize),
-		evidenceQueue: make(chan []quarantine.Evidence, inboxSize), suspectsChanged: make(chan struct{}, 1),
-		rolloutReports: make(chan []protocol.RolloutReport, inboxSize), rolloutsChanged: make(chan struct{}, 1),
+		newInterface: newInterface, endpointQueue: make(chan []distribution.Endpoint, inputQueueSize),
+		evidenceQueue: make(chan []quarantine.Evidence, inputQueueSize), suspectsChanged: make(chan struct{}, 1),
+		rolloutReports: make(chan []protocol.RolloutReport, inputQueueSize), rolloutsChanged: make(chan struct{}, 1),
 		settings: config, logger: logger, clock: clock.New(),
-		messages:  make(chan inboundMessage, inboxSize),
-		joins:     make(chan protocol.Join, inboxSize),
-		loopFuncs: make(chan loopFunc, inboxSize),
+		messages:  make(chan inboundMessage, inputQueueSize),
+		joins:     make(chan protocol.Join, inputQueueSize),
+		loopFuncs: make(chan loopFunc, inputQueueSize),
 		pending:   map[replica.ProposalID]chan<- replica.Completion{},
 		http:      &http.Client{},
 		nodes:     newNodeRegistry(),
@@ -139,7 +139,7 @@
 	s.quotas = newQuotaCoordinator(s)
 	s.hub = stream.NewHub(stream.HubConfig{
 		Quotas: s.quotas.replica,
-		Name:   config.Name, SilenceTimeout: relaySilence,
+		Name:   config.Name, SilenceTimeout: relaySilenceTimeout,
 		Admission: stream.AdmissionConfig{PerSecond: admissionRate, Burst: admissionBurst},
 		Now:       s.clock.Elapsed, ConfirmedAt: s.confirmed,
 		OnReport:   func(report protocol.NodeReport) { s.nodes.record(report, time.Now()) },
--- a/pkg/control/suspects_test.go
+++ b/pkg/control/suspects_test.go
@@ -24,8 +24,8 @@
 	return evidence
 }
 
-// standings returns the watchlist of the replicated state: whether each suspect is quarantined.
-func standings(t *testing.T, server *Server) map[quarantine.Fingerprint]bool {
+// watchlist returns the suspects on the replicated watchlist, and whether each is quarantined.
+func watchlist(t *testing.T, server *Server) map[quarantine.Fingerprint]bool {
 	t.Helper()
 	known := map[quarantine.Fingerprint]bool{}
 	err := server.runOnLoop(context.Background(), func(time.Duration) {
@@ -43,7 +43,7 @@
 func awaitStanding(t *testing.T, server *Server, request quarantine.Fingerprint, quarantined bool) {
 	t.Helper()
 	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
-		if held, found := standings(t, server)[request]; found && held == quarantined {
+		if held, found := watchlist(t, server)[request]; found && held == quarantined {
 			return
 		}
 	}
@@ -63,7 +63,7 @@
 	answer := quarantine.Evidence{Answers: []quarantine.Answer{{Request: popular, Way: quarantine.Way{Caller: "shop", Service: "orders"}}}}
 	server.handleAnnounce(protocol.Announce{Evidence: &answer})
 	awaitStanding(t, server, fatal, true)
-	_, watched := standings(t, server)[popular]
+	_, watched := watchlist(t, server)[popular]
 	is.Equal(watched, false)
 
 	client := operator.NewClient([]string{server.admin.Address()})
@@ -77,9 +77,9 @@
 	}
 	is.NoErr(lift(list.Suspects[0].Fingerprint))
 	awaitStanding(t, server, fatal, false)
-	var refused *catalog.OperationError
-	is.True(errors.As(lift(list.Suspects[0].Fingerprint), &refused)) // it was lifted already
-	is.Equal(refused.Code, catalog.CodeUnknownSuspect)
+	var opErr *catalog.OperationError
+	is.True(errors.As(lift(list.Suspects[0].Fingerprint), &opErr)) // it was lifted already
+	is.Equal(opErr.Code, catalog.CodeUnknownSuspect)
 }
 
 func ptr[T any](value T) *T { return &value }
@@ -95,7 +95,7 @@
 	server.recordReplicaLevel(protocol.Hello{Address: address})
 	server.enqueueEvidence(crashEvidence("r", "i1", "i2"))
 	time.Sleep(3 * evidenceBatchInterval)
-	is.Equal(len(standings(t, server)), 0)
+	is.Equal(len(watchlist(t, server)), 0)
 	server.recordReplicaLevel(protocol.Hello{Address: address, KnowsSuspects: true})
 	server.enqueueEvidence(crashEvidence("r", "i1", "i2"))
 	awaitStanding(t, server, "r", false)
@@ -105,13 +105,13 @@
 	time.Sleep(2 * evidenceBatchInterval)
 	server.recordReplicaLevel(protocol.Hello{Address: address})
 	time.Sleep(1500 * time.Millisecond)
-	is.Equal(standings(t, server), map[quarantine.Fingerprint]bool{"r": false})
+	is.Equal(watchlist(t, server), map[quarantine.Fingerprint]bool{"r": false})
 	server.recordReplicaLevel(protocol.Hello{Address: address, KnowsSuspects: true})
 	awaitStanding(t, server, "r", true)
 	server.recordReplicaLevel(protocol.Hello{Address: address})
 	_, err = server.liftQuarantine(context.Background(), "r")
-	var refused *catalog.OperationError
-	is.True(errors.As(err, &refused))
-	is.Equal(refused.Code, catalog.CodeUnavailable)
-	is.Equal(standings(t, server), map[quarantine.Fingerprint]bool{"r": true})
+	var opErr *catalog.OperationError
+	is.True(errors.As(err, &opErr))
+	is.Equal(opErr.Code, catalog.CodeUnavailable)
+	is.Equal(watchlist(t, server), map[quarantine.Fingerprint]bool{"r": true})
 }
