--- a/pkg/exchange/answer_buffer.go
+++ b/pkg/exchange/answer_buffer.go
@@ -7,22 +7,23 @@
 	"sync/atomic"
 )
 
-// AnswerBuffer bounds what a process holds of large answers, however slowly their callers read. It is safe
-// for concurrent use; nil has no bound.
+// AnswerBuffer bounds the bytes of large responses that a process buffers, however slowly their
+// callers read. It is safe for concurrent use; a nil AnswerBuffer has no bound.
 type AnswerBuffer struct {
 	limit int64
 	held  atomic.Int64
 }
 
-// NewAnswerBuffer returns a buffer of so many bytes. One answer more may be held by each call that is being
-// read when the bound is reached.
+// NewAnswerBuffer returns a buffer of limit bytes. The limit can be exceeded by one response for
+// each call that is being read when it is reached.
 func NewAnswerBuffer(limit int64) *AnswerBuffer { return &AnswerBuffer{limit: limit} }
 
-// Held returns the bytes that are held.
+// Held returns the number of bytes buffered.
 func (b *AnswerBuffer) Held() int64 { return b.held.Load() }
 
-// ReadWhole is ReadWhole for an answer. A large one is passed on piece by piece while too much is held:
-// then rest is its body and data is empty. release must be called once what was read has been passed on.
+// ReadWhole reads a response body like the function ReadWhole. While the limit is reached, a large
+// response is not buffered: rest is its body and data is empty. The caller must call release once
+// the data has been forwarded.
 func (b *AnswerBuffer) ReadWhole(response *http.Response) (data []byte, rest io.Reader, release func(), err error) {
 	if b == nil {
 		data, rest, err = ReadWhole(response.Body, response.ContentLength)
--- a/pkg/exchange/body.go
+++ b/pkg/exchange/body.go
@@ -7,15 +7,15 @@
 	"net/http"
 )
 
-// MaxBuffered is up to which size bodies are held whole. A whole request can be sent
-// again, and a whole answer is known to be one before the first byte of it is passed on.
+// MaxBuffered is the size in bytes up to which bodies are buffered whole. A buffered request can be
+// retried, and a buffered response is known to be complete before its first byte is forwarded.
 const MaxBuffered = 1 << 20
 
-// LargeAnswer is from which length on an answer is booked on a link and spread over time: on a link of
-// 10 Mbit/s it takes 13 ms, as long as some ten small messages.
+// LargeAnswer is the size in bytes from which a response is scheduled on a link and paced. On a
+// link of 10 Mbit/s such a response takes 13 ms, as long as about ten small messages.
 const LargeAnswer = 16 << 10
 
-// BodyStatus is the HTTP status of a call whose body could not be read.
+// BodyStatus returns the HTTP status of a call whose request body could not be read.
 func BodyStatus(err error) int {
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
@@ -24,8 +24,8 @@
 	return http.StatusBadRequest
 }
 
-// ReadWhole reads a body up to MaxBuffered. If there is more, rest continues where data
-// ends.
+// ReadWhole reads a body up to MaxBuffered. If the body is longer, rest is non-nil and continues
+// where data ends.
 func ReadWhole(body io.Reader, sizeHint int64) (data []byte, rest io.Reader, err error) {
 	buffer := bytes.Buffer{}
 	if sizeHint > 0 && sizeHint <= MaxBuffered {
@@ -40,14 +40,14 @@
 	return buffer.Bytes(), nil, nil
 }
 
-// Body is a body that may be held whole.
+// Body is a request body, buffered whole unless it exceeds MaxBuffered.
 type Body struct {
 	data []byte
 	rest io.Reader
 	read bool
 }
 
-// ReadBody takes in a request's body.
+// ReadBody reads a request's body up to MaxBuffered.
 func ReadBody(r *http.Request) (*Body, error) {
 	if r.Body == nil || r.Body == http.NoBody {
 		return &Body{}, nil
@@ -59,45 +59,47 @@
 	return &Body{data: data, rest: rest}, nil
 }
 
-// Repeatable reports whether the body can be sent once more.
+// Repeatable reports whether the body can be sent again.
 func (b *Body) Repeatable() bool { return b.rest == nil || !b.read }
 
-// Data returns what is held of the body; it must not be changed.
+// Data returns the buffered part of the body; it must not be modified.
 func (b *Body) Data() []byte { return b.data }
 
-// Size returns how much of the body is held.
+// Size returns the number of buffered bytes.
 func (b *Body) Size() int { return len(b.data) }
 
-// Empty reports whether there is no body.
+// Empty reports whether the body has no bytes.
 func (b *Body) Empty() bool { return len(b.data) == 0 && b.rest == nil }
 
-// Attach gives a request the body. The reader cannot be rewound, which keeps the HTTP
-// transport from repeating the request on its own.
+// Attach sets the body of a request. Its declared length is used for a body that is not buffered
+// whole. The reader cannot be rewound, which prevents the HTTP transport from retrying the request
+// itself.
 func (b *Body) Attach(request *http.Request, declared int64) {
 	request.ContentLength = declared
 	if b.rest == nil {
 		request.ContentLength = int64(len(b.data))
-		request.Body = io.NopCloser(onlyReader{bytes.NewReader(b.data)})
+		request.Body = io.NopCloser(readerOnly{bytes.NewReader(b.data)})
 		return
 	}
 	b.read = true
 	request.Body = io.NopCloser(io.MultiReader(bytes.NewReader(b.data), b.rest))
 }
 
-type onlyReader struct{ io.Reader }
+// readerOnly hides every other method of a reader, such as WriteTo.
+type readerOnly struct{ io.Reader }
 
-// CopyBody copies an answer's body to a caller. An answer without a length is passed on
-// piece by piece.
+// CopyBody copies a response body to a caller. A response without a length is flushed after each
+// write.
 func CopyBody(w http.ResponseWriter, response *http.Response) error {
 	if response.ContentLength >= 0 {
-		_, err := io.Copy(w, onlyReader{response.Body})
+		_, err := io.Copy(w, readerOnly{response.Body})
 		return err
 	}
-	_, err := io.Copy(flushWriter{w}, onlyReader{response.Body})
+	_, err := io.Copy(flushWriter{w}, readerOnly{response.Body})
 	return err
 }
 
-// flushWriter passes each piece of a streamed answer on at once.
+// flushWriter flushes after each write.
 type flushWriter struct{ http.ResponseWriter }
 
 // Write implements io.Writer.
--- a/pkg/exchange/cold.go
+++ b/pkg/exchange/cold.go
@@ -8,34 +8,35 @@
 	"time"
 )
 
-// HeaderCold is the Cold of a gate's Report, if its back end is cold: remaining time, room and interval in
-// milliseconds, separated by commas. Nodes that do not know it read the rest of the report.
+// HeaderCold carries the Cold of a gate's Report while its back end is cold: Remaining, Room and
+// Interval in milliseconds, separated by commas. Nodes that do not know it read the rest of the
+// report.
 const HeaderCold = "Gate-Cold"
 
-// Cold is what a gate says of a back end that is cold, its zero value of one that is not.
+// Cold is a gate's report on a cold back end. The zero value means that the back end is warm.
 type Cold struct {
-	// Remaining is for how much longer the back end is cold.
+	// Remaining is how much longer the back end is cold.
 	Remaining time.Duration
-	// Room is after how long the gate expects to let in a call that comes now.
+	// Room is the expected delay until the gate can admit one more call.
 	Room time.Duration
-	// Interval is the mean time between calls that the gate lets in; zero for no bound.
+	// Interval is the mean time between calls that the gate admits, zero if it is not limited.
 	Interval time.Duration
 }
 
-// coldFields is how many fields HeaderCold has.
+// coldFields is the number of fields in HeaderCold.
 const coldFields = 3
 
-// Set writes it into the headers of an answer, nothing if the back end is warm.
+// Set writes HeaderCold to the headers of a response, or nothing if the back end is warm.
 func (c Cold) Set(header http.Header) {
 	if c.Remaining > 0 {
 		header.Set(HeaderCold, fmt.Sprintf("%d,%d,%d", ceilMillis(c.Remaining), ceilMillis(c.Room), ceilMillis(c.Interval)))
 	}
 }
 
-// ReadCold reads what Set wrote; the zero value if there is nothing that can be read.
+// ReadCold reads HeaderCold; it returns the zero value if the header is missing or malformed.
 func ReadCold(header http.Header) Cold {
 	text := header.Get(HeaderCold)
-	// Most back ends are warm: their reports cost no allocation here.
+	// Most back ends are warm; reading their reports must not allocate.
 	if text == "" {
 		return Cold{}
 	}
@@ -54,7 +55,8 @@
 	return Cold{Remaining: values[0], Room: values[1], Interval: values[2]}
 }
 
-// ceilMillis rounds up: what is left of a time must not be told as over.
+// ceilMillis converts a duration to milliseconds, rounded up so that a positive remainder is not
+// reported as zero.
 func ceilMillis(d time.Duration) int64 {
 	return int64((max(0, d) + time.Millisecond - 1) / time.Millisecond)
 }
--- a/pkg/exchange/cold_test.go
+++ b/pkg/exchange/cold_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-func TestColdGoesWithTheReport(t *testing.T) {
+func TestReportCarriesColdState(t *testing.T) {
 	is := is.New(t)
 	report := Report{Running: 2, Capacity: 4, Cold: Cold{Remaining: 2 * time.Second, Room: 300 * time.Microsecond, Interval: 58 * time.Millisecond}}
 	header := http.Header{}
@@ -20,8 +20,8 @@
 	is.Equal(len(header), 0)
 }
 
-// Nodes that do not know the header read the rest as ever; a report of such a gate has none.
-func TestEarlierNodesReadTheReportOfAColdBackEnd(t *testing.T) {
+// Nodes of earlier releases do not know HeaderCold, so it must not alter HeaderReport.
+func TestColdStateLeavesReportHeaderUnchanged(t *testing.T) {
 	is := is.New(t)
 	warm, cold := http.Header{}, http.Header{}
 	Report{Running: 2, Capacity: 4}.Set(warm)
@@ -33,14 +33,14 @@
 	is.Equal(read.Cold, Cold{})
 }
 
-func TestUnreadableColdIsNone(t *testing.T) {
+func TestMalformedColdHeaderIsIgnored(t *testing.T) {
 	is := is.New(t)
 	for _, text := range []string{"", "1", "1,2", "1,2,3,4", "-1,2,3", "x,2,3", "99999999999,1,1"} {
 		is.Equal(ReadCold(http.Header{HeaderCold: {text}}), Cold{})
 	}
 }
 
-func TestReportOfAWarmBackEndIsReadWithoutAllocation(t *testing.T) {
+func TestReadingWarmReportDoesNotAllocate(t *testing.T) {
 	header := http.Header{}
 	Report{Capacity: 4}.Set(header)
 	is.New(t).Equal(testing.AllocsPerRun(100, func() { ReadCold(header) }), 0.0)
--- a/pkg/exchange/delivery.go
+++ b/pkg/exchange/delivery.go
@@ -11,13 +11,14 @@
 // dialFunc opens connections for a transport.
 type dialFunc = func(ctx context.Context, network, address string) (net.Conn, error)
 
-// countedConn counts the writes of which any byte was handed to the kernel, or may be just now.
+// countedConn counts the writes that passed any byte to the kernel, including one in progress.
 type countedConn struct {
 	net.Conn
 	writes atomic.Int64
 }
 
-// Write implements net.Conn. It counts first: the peer may answer before the kernel has returned.
+// Write implements net.Conn. It counts before it writes, since the peer may respond before the
+// write returns.
 func (c *countedConn) Write(data []byte) (int, error) {
 	c.writes.Add(1)
 	n, err := c.Conn.Write(data)
@@ -27,8 +28,7 @@
 	return n, err
 }
 
-// CountWrites returns a dial function whose connections count their writes, so that a Delivery can tell
-// whether any byte of a request was sent on them.
+// CountWrites returns a dial function whose connections count their writes, as Delivery requires.
 func CountWrites(dial dialFunc) dialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
@@ -39,44 +39,46 @@
 	}
 }
 
-// Delivery tells whether a request may have reached its peer. A connection that was kept open may turn
-// out to be closed only when the next request is written to it, and that one has not been sent then.
-// Its zero value is ready for one request.
+// Delivery detects whether a request may have reached its peer. A write to an idle connection that
+// the peer has closed fails before any byte is sent; such a request can be retried safely. The zero
+// value is ready for one request.
 type Delivery struct {
 	mu sync.Mutex
-	// conn is the latest connection, nil for none; before is how many writes it had before the request.
-	conn   *countedConn
-	before int64
-	// arrived is set once an earlier connection took some of the request, or if the writes of one were not
-	// counted.
-	arrived bool
+	// conn is the latest connection, nil for none; writesBefore is its write count before the
+	// request.
+	conn         *countedConn
+	writesBefore int64
+	// arrivedEarlier is set if an earlier connection wrote part of the request, or if the writes of
+	// a connection were not counted.
+	arrivedEarlier bool
 }
 
-// Trace returns the trace to put into the request's context.
+// Trace returns the trace to attach to the request's context.
 func (d *Delivery) Trace() *httptrace.ClientTrace {
-	return &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) { d.use(info.Conn) }}
+	return &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) { d.recordConn(info.Conn) }}
 }
 
-// use notes the connection that the transport tries next.
-func (d *Delivery) use(conn net.Conn) {
+// recordConn records the connection that the transport uses next.
+func (d *Delivery) recordConn(conn net.Conn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	counted, ok := conn.(*countedConn)
 	if !ok {
-		d.arrived = true
+		d.arrivedEarlier = true
 		return
 	}
-	d.arrived = d.mayHaveArrived()
-	d.conn, d.before = counted, counted.writes.Load()
+	d.arrivedEarlier = d.mayHaveArrived()
+	d.conn, d.writesBefore = counted, counted.writes.Load()
 }
 
-// MayHaveArrived reports whether the peer may have seen any of the request.
+// MayHaveArrived reports whether the peer may have received any part of the request.
 func (d *Delivery) MayHaveArrived() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.mayHaveArrived()
 }
 
+// mayHaveArrived is MayHaveArrived with mu held.
 func (d *Delivery) mayHaveArrived() bool {
-	return d.arrived || (d.conn != nil && d.conn.writes.Load() > d.before)
+	return d.arrivedEarlier || (d.conn != nil && d.conn.writes.Load() > d.writesBefore)
 }
--- a/pkg/exchange/delivery_test.go
+++ b/pkg/exchange/delivery_test.go
@@ -16,8 +16,8 @@
 	"github.com/matryer/is"
 )
 
-// brokenConn takes no more bytes once broken is set, as one whose peer has closed it without the reader
-// having noticed.
+// brokenConn fails every write once broken is set, like a connection whose close by the peer has
+// not been noticed yet.
 type brokenConn struct {
 	net.Conn
 	broken *atomic.Bool
@@ -44,7 +44,7 @@
 	return delivery, err
 }
 
-func TestNothingArrivesOnAConnectionThatTakesNoByte(t *testing.T) {
+func TestFailedWriteIsNotADelivery(t *testing.T) {
 	is := is.New(t)
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	defer server.Close()
@@ -62,7 +62,7 @@
 	is.True(!second.MayHaveArrived())
 }
 
-func TestNothingArrivesWithoutAConnection(t *testing.T) {
+func TestFailedDialIsNotADelivery(t *testing.T) {
 	is := is.New(t)
 	transport := &http.Transport{DialContext: CountWrites((&net.Dialer{}).DialContext)}
 	delivery, err := post(t, transport, "http://127.0.0.1:1")
@@ -70,7 +70,7 @@
 	is.True(!delivery.MayHaveArrived())
 }
 
-func TestWhatWasSentMayHaveArrived(t *testing.T) {
+func TestWrittenRequestMayHaveArrived(t *testing.T) {
 	is := is.New(t)
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
 	defer server.Close()
@@ -80,7 +80,7 @@
 	is.True(delivery.MayHaveArrived())
 }
 
-// slowWriter returns from a write only after the peer has answered it.
+// slowWriter delays the return of each write until the peer has responded.
 type slowWriter struct{ net.Conn }
 
 func (c slowWriter) Write(data []byte) (int, error) {
@@ -89,8 +89,8 @@
 	return n, err
 }
 
-// The peer may answer before the write has returned.
-func TestWhatIsBeingSentMayHaveArrived(t *testing.T) {
+// Guards against counting a write only after it returns: the peer may respond earlier.
+func TestRequestMayHaveArrivedBeforeWriteReturns(t *testing.T) {
 	is := is.New(t)
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
 	defer server.Close()
@@ -103,18 +103,18 @@
 	is.True(delivery.MayHaveArrived())
 }
 
-// A transport may try a request on several connections.
-func TestWhatAnEarlierConnectionTookMayHaveArrived(t *testing.T) {
+// The transport may use several connections for one request; a write on any of them counts.
+func TestWriteOnEarlierConnectionMayHaveArrived(t *testing.T) {
 	is := is.New(t)
 	peer, other := net.Pipe()
 	defer peer.Close()
 	go func() { _, _ = io.Copy(io.Discard, peer) }()
 	var delivery Delivery
 	first := &countedConn{Conn: other}
-	delivery.use(first)
+	delivery.recordConn(first)
 	is.True(!delivery.MayHaveArrived())
 	_, err := first.Write([]byte("x"))
 	is.NoErr(err)
-	delivery.use(&countedConn{Conn: other})
+	delivery.recordConn(&countedConn{Conn: other})
 	is.True(delivery.MayHaveArrived())
 }
--- a/pkg/exchange/ended.go
+++ b/pkg/exchange/ended.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// BackendEnded reports whether an exchange with a back end broke because its process ended. One
-// that breaks off an answer, or whose connections were reset, still listens; one that is gone
-// refuses connections. The look takes no longer than a limit; a back end that says nothing in it
-// has not ended as far as is known.
+// BackendEnded reports whether an exchange with a back end failed because the back end's process
+// exited. A probe connection decides, within limit: a process that has exited refuses connections,
+// while one that aborted a response or reset connections still listens. Without a response to the
+// probe the back end counts as running.
 func BackendEnded(ctx context.Context, address string, cause error, limit time.Duration) bool {
 	if errors.Is(cause, ErrWrongAnswer) {
 		return false
 	}
-	// The HTTP transport may have tried another connection on its own.
+	// The HTTP transport may have retried on another connection.
 	if errors.Is(cause, syscall.ECONNREFUSED) {
 		return true
 	}
--- a/pkg/exchange/exchange.go
+++ b/pkg/exchange/exchange.go
@@ -1,5 +1,5 @@
-// Package exchange defines what callers, nodes, gates and back ends tell each other in the
-// headers of a call, beside the names that a deployment sets (settings.Headers).
+// Package exchange defines the HTTP headers by which callers, nodes, gates and back ends
+// communicate. Deployments can set the names of further headers (settings.Headers).
 package exchange
 
 import (
@@ -14,120 +14,124 @@
 
 // Headers of the system.
 const (
-	// HeaderOutcome is on refusals, of nodes, gates and back ends.
+	// HeaderOutcome carries the Outcome of a refused call; nodes, gates and back ends set it.
 	HeaderOutcome = "Request-Outcome"
-	// HeaderTimeout is the caller's remaining patience in milliseconds; it shrinks
-	// hop by hop. A deployment may give it another name.
+	// HeaderTimeout is the caller's remaining timeout in milliseconds, reduced at each hop. A
+	// deployment can set another name.
 	HeaderTimeout = "Request-Timeout-Ms"
-	// HeaderRetry marks a call that some hop sends for a second time; no later hop
-	// retries it again, so that retries do not multiply along a chain.
+	// HeaderRetry marks a retry of a call. Later hops do not retry it again, so that retries do not
+	// multiply along a chain.
 	HeaderRetry = "Request-Retry"
-	// HeaderLoad is a back end's report of its load from 0 to 1.
+	// HeaderLoad is the load that a back end reports, from 0 to 1.
 	HeaderLoad = "Backend-Load"
-	// HeaderDraining is set by a back end that takes no new calls.
+	// HeaderDraining is set by a back end that accepts no new calls.
 	HeaderDraining = "Backend-Draining"
-	// HeaderPriority is the rank of a call at a gate; 0 goes first.
+	// HeaderPriority is the priority of a call at a gate; 0 is the highest.
 	HeaderPriority = "Gate-Priority"
-	// HeaderWait is for how many milliseconds a call may wait at a gate.
+	// HeaderWait is how many milliseconds a call may queue at a gate.
 	HeaderWait = "Gate-Wait-Ms"
-	// HeaderEarly is for how many milliseconds a refusal still helps the caller most.
+	// HeaderEarly is how many milliseconds remain in which a refusal is most useful to the caller.
 	HeaderEarly = "Gate-Early-Ms"
-	// HeaderTarget is how many milliseconds are left until the call's target latency, zero if
-	// that has passed.
+	// HeaderTarget is how many milliseconds remain until the call's target latency, zero if it has
+	// passed.
 	HeaderTarget = "Gate-Target-Ms"
-	// HeaderExpectedWork is how many microseconds a call is expected to take at the back
-	// end, by what its route took before.
+	// HeaderExpectedWork is the expected processing time of a call at the back end in microseconds,
+	// estimated from earlier calls of its route.
 	HeaderExpectedWork = "Gate-Expected-Work-Us"
-	// HeaderExpectedAnswer is how many bytes a call's answer is expected to have, by what its route's
-	// answers had before, if that is a large answer.
+	// HeaderExpectedAnswer is the expected size of a call's response in bytes, estimated from
+	// earlier responses of its route. It is sent for large responses only.
 	HeaderExpectedAnswer = "Gate-Expected-Answer"
-	// HeaderLinkWait is the LinkWait of a gate's Report in milliseconds, if it is not 0.
+	// HeaderLinkWait is the LinkWait of a gate's Report in milliseconds, if it is at least 1.
 	HeaderLinkWait = "Gate-Link-Wait-Ms"
 	// HeaderReport is a gate's Report.
 	HeaderReport = "Gate-Report"
-	// HeaderFailing is the Failing of a gate's Report in thousandths, if it is not 0. Nodes
-	// that do not know it read the rest of the report.
+	// HeaderFailing is the Failing of a gate's Report in thousandths, if it is not 0. Nodes that do
+	// not know it read the rest of the report.
 	HeaderFailing = "Gate-Failing"
 	// HeaderSender is the ID and the Report of the back end beside the node that sends a call,
-	// while that has free slots: who hears of it may give it calls.
+	// while that back end has free capacity. Receivers may route calls to it.
 	HeaderSender = "Gate-Sender"
-	// HeaderWork is how many microseconds a call took at the back end.
+	// HeaderWork is the processing time of a call at the back end in microseconds.
 	HeaderWork = "Gate-Work-Us"
-	// HeaderRoute is the name of the call's route; it is sent while a rollout of the service runs.
+	// HeaderRoute is the name of the call's route. It is sent while a rollout of the service is
+	// running.
 	HeaderRoute = "Gate-Route"
-	// HeaderRollout is the version that a running rollout brings, on calls that go to it: a gate that
-	// does not know of the rollout must not let them in.
+	// HeaderRollout is the new version of a running rollout, on calls that are routed to it. A gate
+	// that does not know the rollout must reject them.
 	HeaderRollout = "Gate-Rollout"
-	// HeaderTellHeld asks a gate of another region to say how long it held the call, HeaderHeld is its
-	// answer in microseconds: what is left of the call's time was spent on the way.
+	// HeaderTellHeld asks a gate in another region to report in HeaderHeld how many microseconds it
+	// held the call. The rest of the call's duration is network latency.
 	HeaderTellHeld = "Gate-Tell-Held"
 	HeaderHeld     = "Gate-Held-Us"
-	// HeaderReason is why a gate refused, one of the Reason constants.
+	// HeaderReason is why a gate refused a call, one of the Reason constants.
 	HeaderReason = "Gate-Reason"
 )
 
-// internalHeaders are never taken from callers nor passed to them or to back ends.
+// internalHeaders are removed from callers' requests and not forwarded to callers or back ends.
 var internalHeaders = []string{
 	HeaderOutcome, HeaderRetry, HeaderPriority, HeaderWait, HeaderReport, HeaderFailing, HeaderReason, HeaderWork,
 	HeaderExpectedWork, HeaderEarly, HeaderTarget, HeaderSender, HeaderCold, HeaderExpectedAnswer, HeaderLinkWait,
 	HeaderTellHeld, HeaderHeld, HeaderRoute, HeaderRollout, HeaderSent,
 }
 
-// RemoveInternal deletes what only nodes and gates tell each other.
+// RemoveInternal deletes the headers that are exchanged only between nodes and gates.
 func RemoveInternal(header http.Header) {
 	for _, name := range internalHeaders {
 		delete(header, name)
 	}
 }
 
-// ErrWrongAnswer: an answer belongs to another call.
+// ErrWrongAnswer reports a response that belongs to another call. Refusals carry its text to callers.
 var ErrWrongAnswer = errors.New("the answer is to another call")
 
-// Outcome says whether a refused call ran.
+// Outcome states whether a refused call was run.
 type Outcome string
 
 const (
-	// NotRun: no back end has begun the call.
+	// NotRun means that no back end has begun the call.
 	NotRun Outcome = "not-run"
-	// Unknown: a back end may have run the call.
+	// Unknown means that a back end may have run the call.
 	Unknown Outcome = "unknown"
 )
 
-// Reason says why a gate did not get an answer from its back end.
+// Reason is why a gate has no response from its back end.
 type Reason string
 
 const (
-	// ReasonFull: the wait would be longer than the call allows.
+	// ReasonFull means that the call would queue for longer than it allows.
 	ReasonFull Reason = "full"
-	// ReasonLink: the call's body would come, or its answer leave, too late over the gate's link.
+	// ReasonLink means that the gate's link is too busy to transfer the call's body or response in
+	// time.
 	ReasonLink Reason = "link"
-	// ReasonAbsent: no back end is there yet.
+	// ReasonAbsent means that no back end is present yet.
 	ReasonAbsent Reason = "absent"
-	// ReasonLeft: the back end that the call was meant for has left for good.
+	// ReasonLeft means that the back end addressed by the call has been removed permanently.
 	ReasonLeft Reason = "left"
-	// ReasonStopping: the gate's process stops.
+	// ReasonStopping means that the gate's process is shutting down.
 	ReasonStopping Reason = "stopping"
-	// ReasonUnreachable: the back end took no connection.
+	// ReasonUnreachable means that no connection to the back end could be opened.
 	ReasonUnreachable Reason = "unreachable"
-	// ReasonDeclined: the back end got the call and said that it has not begun it.
+	// ReasonDeclined means that the back end received the call and reported that it had not begun
+	// it.
 	ReasonDeclined Reason = "declined"
-	// ReasonDeadline: the call's time is up.
+	// ReasonDeadline means that the call's deadline has passed.
 	ReasonDeadline Reason = "deadline"
-	// ReasonBroken: the exchange with the back end broke.
+	// ReasonBroken means that the exchange with the back end failed.
 	ReasonBroken Reason = "broken"
-	// ReasonEnded: the back end's process ended while it had the call.
+	// ReasonEnded means that the back end's process exited while it was processing the call.
 	ReasonEnded Reason = "ended"
-	// ReasonQuarantined: back ends ended under the same request.
+	// ReasonQuarantined means that the same request has crashed back ends.
 	ReasonQuarantined Reason = "quarantined"
-	// ReasonEvacuated: the back end's zone is evacuated.
+	// ReasonEvacuated means that the back end's zone is evacuated.
 	ReasonEvacuated Reason = "evacuated"
-	// ReasonRegion: the back end is in none of the regions that may serve the call.
+	// ReasonRegion means that the back end is in none of the regions allowed for the call.
 	ReasonRegion Reason = "region"
-	// ReasonCold: the back end is cold and gets no more calls at the moment.
+	// ReasonCold means that the back end is cold and currently admits no more calls.
 	ReasonCold Reason = "cold"
-	// ReasonVersion: the back end is of a version that gets no more calls at the moment.
+	// ReasonVersion means that the back end has a version which currently may not receive more
+	// calls.
 	ReasonVersion Reason = "version"
-	// ReasonServerError: the back end answered that it failed.
+	// ReasonServerError means that the back end responded with a server error.
 	ReasonServerError Reason = "server-error"
 )
 
@@ -136,32 +140,33 @@
 	return r == ReasonDeclined || r == ReasonBroken || r == ReasonEnded || r == ReasonServerError
 }
 
-// Busy reports whether the gate may take the call a little later.
+// Busy reports whether the gate may admit the call a little later.
 func (r Reason) Busy() bool { return r == ReasonFull || r == ReasonLink || r == ReasonCold }
 
-// Report is what a gate says of its back end with each answer.
+// Report is the state of a back end that its gate sends with each response.
 type Report struct {
-	// Running and Queued are the calls at work and those that wait at the gate.
+	// Running and Queued are the calls in flight at the back end and those queued at the gate.
 	Running int
 	Queued  int
-	// Capacity is how many calls the back end works on at once.
+	// Capacity is how many calls the back end processes concurrently.
 	Capacity int
-	// Service is how long a call takes there, smoothed.
+	// Service is the smoothed processing time of a call at the back end.
 	Service time.Duration
-	// Failing is the share of the latest calls that the back end failed, from 0 to 1.
+	// Failing is the failure rate of the latest calls at the back end, from 0 to 1.
 	Failing float64
-	// Cold says how cold the back end is.
+	// Cold is the cold start state of the back end.
 	Cold Cold
-	// LinkWait is how long the next large answer waits for the gate's link.
+	// LinkWait is how long the next large response waits for the gate's link.
 	LinkWait time.Duration
 }
 
-const thousandths = 1000
+// failingScale is the factor between Failing and HeaderFailing.
+const failingScale = 1000
 
-// Set writes the report into the headers of an answer.
+// Set writes the report to the headers of a response.
 func (r Report) Set(header http.Header) {
 	header.Set(HeaderReport, r.String())
-	if failing := int(r.Failing * thousandths); failing > 0 {
+	if failing := int(r.Failing * failingScale); failing > 0 {
 		header.Set(HeaderFailing, strconv.Itoa(failing))
 	}
 	r.Cold.Set(header)
@@ -170,12 +175,12 @@
 	}
 }
 
-// ReadReport reads what Set wrote, false if there is no report.
+// ReadReport reads the headers written by Report.Set, false if there is no valid report.
 func ReadReport(header http.Header) (Report, bool) {
 	report, ok := ParseReport(header.Get(HeaderReport))
 	failing, err := strconv.ParseUint(header.Get(HeaderFailing), 10, 16)
 	if ok && err == nil {
-		report.Failing = min(1, float64(failing)/thousandths)
+		report.Failing = min(1, float64(failing)/failingScale)
 	}
 	if ok {
 		report.Cold = ReadCold(header)
@@ -186,14 +191,14 @@
 	return report, ok
 }
 
-// ServerFailed reports whether a back end's status says that it failed the call, which
-// another might not. A gateway timeout says that the time was up, whoever took it.
+// ServerFailed reports whether a status means that the back end failed a call which another back
+// end might complete. A gateway timeout is excluded, since the time has passed for any of them.
 func ServerFailed(status int) bool {
 	return status >= http.StatusInternalServerError && status != http.StatusGatewayTimeout && status != http.StatusNotImplemented
 }
 
-// Outlived reports whether a status shows that the back end has run a call and outlived it. Some
-// refuse without a word about it, and an error may come before the work.
+// Outlived reports whether a status proves that the back end has processed a call without crashing.
+// Rejections and server errors prove nothing: the back end may have sent them before it began.
 func Outlived(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests:
@@ -202,12 +207,12 @@
 	return status < http.StatusInternalServerError
 }
 
-// String returns the report as HeaderReport carries it.
+// String returns the report in the format of HeaderReport.
 func (r Report) String() string {
 	return fmt.Sprintf("%d,%d,%d,%d", r.Running, r.Queued, r.Capacity, r.Service.Microseconds())
 }
 
-// ParseReport reads a HeaderReport.
+// ParseReport parses the value of HeaderReport.
 func ParseReport(text string) (Report, bool) {
 	parts := strings.Split(text, ",")
 	if len(parts) != 4 {
@@ -227,19 +232,20 @@
 	}, true
 }
 
-// Sender is the back end beside the node that sends a call, as HeaderSender carries it.
+// Sender identifies the back end beside the node that sends a call, with its state, as in
+// HeaderSender.
 type Sender struct {
 	ID     string
 	Report Report
 }
 
-// senderSeparator stands between the ID and the report.
+// senderSeparator separates the ID from the report.
 const senderSeparator = "="
 
-// String returns the sender as HeaderSender carries it.
+// String returns the sender in the format of HeaderSender.
 func (s Sender) String() string { return s.ID + senderSeparator + s.Report.String() }
 
-// ParseSender reads a HeaderSender.
+// ParseSender parses the value of HeaderSender.
 func ParseSender(text string) (Sender, bool) {
 	id, report, found := strings.Cut(text, senderSeparator)
 	if !found || id == "" {
@@ -249,7 +255,7 @@
 	return Sender{ID: id, Report: parsed}, ok
 }
 
-// ReadMillis reads a header of whole milliseconds; false if it is not set or unusable.
+// ReadMillis reads a header in whole milliseconds, false if it is missing or invalid.
 func ReadMillis(header http.Header, name string) (time.Duration, bool) {
 	millis, err := strconv.ParseInt(header.Get(name), 10, 64)
 	if err != nil || millis < 0 {
@@ -258,7 +264,7 @@
 	return time.Duration(millis) * time.Millisecond, true
 }
 
-// ReadMicros reads a header of whole microseconds; false if it is not set or unusable.
+// ReadMicros reads a header in whole microseconds, false if it is missing or invalid.
 func ReadMicros(header http.Header, name string) (time.Duration, bool) {
 	micros, err := strconv.ParseInt(header.Get(name), 10, 64)
 	if err != nil || micros < 0 {
@@ -267,30 +273,30 @@
 	return time.Duration(micros) * time.Microsecond, true
 }
 
-// SetMillis writes a header of whole milliseconds.
+// SetMillis sets a header in whole milliseconds, at least 0.
 func SetMillis(header http.Header, name string, value time.Duration) {
 	header.Set(name, strconv.FormatInt(max(0, value.Milliseconds()), 10))
 }
 
-// hopHeaders belong to one connection (RFC 9110, 7.6.1).
-var hopHeaders = []string{
+// hopByHopHeaders apply to a single connection (RFC 9110, section 7.6.1).
+var hopByHopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// RemoveHop deletes the headers that concern one connection only.
+// RemoveHop deletes the hop-by-hop headers, including those listed in Connection.
 func RemoveHop(header http.Header) {
 	for _, value := range header["Connection"] {
 		for name := range strings.SplitSeq(value, ",") {
 			header.Del(textproto.TrimString(name))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		delete(header, name)
 	}
 }
 
-// Copy copies all headers.
+// Copy copies all headers from source to target, with copies of their values.
 func Copy(target, source http.Header) {
 	for name, values := range source {
 		target[name] = append([]string(nil), values...)
--- a/pkg/exchange/outgoing.go
+++ b/pkg/exchange/outgoing.go
@@ -5,9 +5,8 @@
 	"net/url"
 )
 
-// NewOutgoing returns the request by which a call goes on to an address, without a body:
-// method, host, path and query as they came, and all headers but those that concern one
-// connection or only nodes and gates.
+// NewOutgoing returns the request that forwards a call to an address, without a body. Method, host,
+// path, query and headers are kept, except hop-by-hop and internal headers and Expect.
 func NewOutgoing(incoming *http.Request, address string) *http.Request {
 	request := &http.Request{
 		Method: incoming.Method, Host: incoming.Host, Header: make(http.Header, len(incoming.Header)+outgoingHeaders),
@@ -22,11 +21,11 @@
 	RemoveInternal(request.Header)
 	request.Header.Del("Expect")
 	if _, set := request.Header["User-Agent"]; !set {
-		// An explicit nil keeps the transport from adding its own.
+		// A nil value prevents the transport from adding its default.
 		request.Header["User-Agent"] = nil
 	}
 	return request
 }
 
-// outgoingHeaders is about how many headers a hop adds.
+// outgoingHeaders is the number of headers that a hop typically adds.
 const outgoingHeaders = 6
--- a/pkg/exchange/sent.go
+++ b/pkg/exchange/sent.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// HeaderSent is when a node sent a call to a gate, as Sent. What a call's other headers say of the time left was
-// true then.
+// HeaderSent is when a node sent a call to a gate, in the format of Sent. The remaining times in
+// the call's other headers refer to that time.
 const HeaderSent = "Gate-Sent"
 
-// Sent is a moment on the steady clock of a node's process.
+// Sent is a time on the monotonic clock of one process run of a node.
 type Sent struct {
-	// Process tells the starts of nodes apart: their clocks have nothing in common.
+	// Process identifies the process run; the clocks of different runs are unrelated.
 	Process uint32
 	At      time.Duration
 }
 
 const sentSeparator = "-"
 
-// String returns the moment as HeaderSent carries it, in milliseconds.
+// String returns the time in the format of HeaderSent, in milliseconds.
 func (s Sent) String() string {
 	return strconv.FormatUint(uint64(s.Process), 36) + sentSeparator + strconv.FormatInt(max(0, s.At.Milliseconds()), 36)
 }
 
-// ParseSent reads what String wrote.
+// ParseSent parses the value of HeaderSent.
 func ParseSent(text string) (Sent, bool) {
-	first, second, found := strings.Cut(text, sentSeparator)
-	process, err := strconv.ParseUint(first, 36, 32)
-	millis, err2 := strconv.ParseInt(second, 36, 48)
-	if !found || err != nil || err2 != nil || millis < 0 {
+	processText, millisText, found := strings.Cut(text, sentSeparator)
+	process, err := strconv.ParseUint(processText, 36, 32)
+	millis, millisErr := strconv.ParseInt(millisText, 36, 48)
+	if !found || err != nil || millisErr != nil || millis < 0 {
 		return Sent{}, false
 	}
 	return Sent{Process: uint32(process), At: time.Duration(millis) * time.Millisecond}, true
--- a/pkg/exchange/sent_test.go
+++ b/pkg/exchange/sent_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestSentComesBackInWholeMilliseconds(t *testing.T) {
+func TestSentRoundTripsInMilliseconds(t *testing.T) {
 	is := is.New(t)
 	for _, sent := range []Sent{{}, {Process: 1<<32 - 1, At: 100 * 24 * time.Hour}, {Process: 7, At: 1234 * time.Millisecond}} {
 		read, ok := ParseSent(sent.String())
