--- a/pkg/protocol/handshake_test.go
+++ b/pkg/protocol/handshake_test.go
@@ -11,8 +11,9 @@
 	"github.com/matryer/is"
 )
 
-// shake performs a handshake over a pipe and returns what each side found.
-func shake(hello Hello, spoil func(*wire.Conn) bool) (accepted Hello, acceptErr, openErr error) {
+// handshake performs a handshake over a pipe and returns the result of each side. If sendInstead
+// returns true, it replaces the client's part.
+func handshake(hello Hello, sendInstead func(*wire.Conn) bool) (accepted Hello, acceptErr, openErr error) {
 	left, right := net.Pipe()
 	client := wire.NewConn(left, wire.DefaultMaxFrame, time.Second, nil)
 	server := wire.NewConn(right, wire.DefaultMaxFrame, time.Second, nil)
@@ -27,7 +28,7 @@
 		}
 		server.Close()
 	}()
-	if spoil == nil || !spoil(client) {
+	if sendInstead == nil || !sendInstead(client) {
 		_, openErr = Open(client, hello, time.Second)
 	}
 	client.Close()
@@ -35,15 +36,15 @@
 	return accepted, acceptErr, openErr
 }
 
-func TestHandshakeTellsWhoIsThere(t *testing.T) {
+func TestHandshakeIdentifiesTheClient(t *testing.T) {
 	is := is.New(t)
-	accepted, acceptErr, openErr := shake(Hello{ClusterID: "east", Role: RoleNode, Name: "n", Group: "shop"}, nil)
+	accepted, acceptErr, openErr := handshake(Hello{ClusterID: "east", Role: RoleNode, Name: "n", Group: "shop"}, nil)
 	is.NoErr(acceptErr)
 	is.NoErr(openErr)
 	is.Equal(accepted.Name, "n")
 }
 
-func TestStrangersAreRefused(t *testing.T) {
+func TestForeignClusterAndWrongRoleAreRefused(t *testing.T) {
 	for name, test := range map[string]struct {
 		hello Hello
 		want  RefusalReason
@@ -53,7 +54,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			_, acceptErr, openErr := shake(test.hello, nil)
+			_, acceptErr, openErr := handshake(test.hello, nil)
 			is.True(acceptErr != nil)
 			var refused *RefusedError
 			is.True(errors.As(openErr, &refused))
@@ -62,8 +63,8 @@
 	}
 }
 
-func TestAnotherProtocolIsRefused(t *testing.T) {
-	_, acceptErr, _ := shake(Hello{}, func(conn *wire.Conn) bool {
+func TestOtherProtocolVersionIsRefused(t *testing.T) {
+	_, acceptErr, _ := handshake(Hello{}, func(conn *wire.Conn) bool {
 		_ = conn.Send(KindHello, Hello{Protocol: Version + 1, ClusterID: "east"})
 		_, _ = conn.Receive(time.Second)
 		return true
@@ -71,8 +72,8 @@
 	is.New(t).True(acceptErr != nil)
 }
 
-func TestFirstFrameMustBeAHello(t *testing.T) {
-	_, acceptErr, _ := shake(Hello{}, func(conn *wire.Conn) bool {
+func TestFirstFrameMustBeHello(t *testing.T) {
+	_, acceptErr, _ := handshake(Hello{}, func(conn *wire.Conn) bool {
 		_ = conn.Send(KindPing, Ping{})
 		return true
 	})
--- a/pkg/protocol/protocol.go
+++ b/pkg/protocol/protocol.go
@@ -1,9 +1,9 @@
-// Package protocol defines the messages between the system's own processes and the
-// handshake that opens every connection.
+// Package protocol defines the messages between the system's own processes and the handshake that
+// opens every connection.
 //
-// The first frame of the connecting side is a Hello; the other side answers with a
-// Welcome or a Refusal. The handshake is where transport security can be put under the
-// protocol later: everything above it only sees a wire.Conn.
+// The connecting side first sends a Hello; the other side replies with a Welcome or a Refusal.
+// Transport security could be added below the handshake, since all later code uses only a
+// wire.Conn.
 package protocol
 
 import (
@@ -21,7 +21,7 @@
 	"bramblelift/pkg/wire"
 )
 
-// Version is the version of this protocol; peers of another one are refused.
+// Version is the version of this protocol. Peers with another version are refused.
 const Version = 1
 
 // Kinds of frames.
@@ -40,7 +40,7 @@
 	KindQuotas
 )
 
-// KindName returns the name of a kind as metrics show it.
+// KindName returns the name of a frame kind as used in metrics.
 func KindName(kind wire.Kind) string {
 	names := map[wire.Kind]string{
 		KindHello: "hello", KindWelcome: "welcome", KindRefusal: "refusal",
@@ -53,19 +53,19 @@
 	return "unknown"
 }
 
-// Role says what a process is.
+// Role is the role of the connecting process.
 type Role uint8
 
 const (
 	// RoleReplica is a control replica that exchanges consensus messages.
 	RoleReplica Role = iota + 1
-	// RoleRelay subscribes to everything and serves nodes.
+	// RoleRelay subscribes to the whole state and serves nodes.
 	RoleRelay
-	// RoleNode subscribes for one node group.
+	// RoleNode subscribes to the state of one node group.
 	RoleNode
 )
 
-// Hello opens a connection.
+// Hello is the first message of the connecting side.
 type Hello struct {
 	ClusterID string
 	Protocol  int
@@ -74,25 +74,25 @@
 	Zone      string
 	// Group is the node's group; relays subscribe to bundle.ScopeAll.
 	Group string
-	// Position is what a subscriber holds.
+	// Position is the position of the state that a subscriber holds.
 	Position distribution.Position
-	// Address is where a replica can be reached.
+	// Address is the address at which a replica accepts connections.
 	Address string
-	// KnowsSuspects is set by replicas whose program knows log entries about suspects.
-	// Programs that tell a Level set it, too, for those that look at nothing else.
+	// KnowsSuspects is set by replicas that support log entries about suspects. Replicas that set
+	// Level set it too, for peers that read only this field.
 	KnowsSuspects bool
-	// Level is that of the log entries that a replica's program knows, or of the contents that a node's
-	// or a relay's can read; programs from before it leave it out.
+	// Level is the level of log entries that a replica supports, or of contents that a node or
+	// relay can read. It is zero from releases that do not report one.
 	Level catalog.Level
 }
 
 // Welcome accepts a connection.
 type Welcome struct {
 	Name string
-	// Servers are all that a subscriber may go to instead; empty if the server does not
-	// know.
+	// Servers are all servers that accept subscriptions; empty if they are not known.
 	Servers []Server
-	// Earlier are a replica's subscribers of an earlier release, for another replica; nil for none.
+	// Earlier describes a replica's subscribers of an earlier release, for another replica; nil for
+	// none.
 	Earlier *EarlierSubscribers
 }
 
@@ -102,99 +102,101 @@
 	Zone    string
 }
 
-// RefusalReason classifies a refusal.
+// RefusalReason is the reason of a Refusal.
 type RefusalReason uint8
 
 const (
-	// ReasonCluster: the peer belongs to another cluster.
+	// ReasonCluster means that the peer belongs to another cluster.
 	ReasonCluster RefusalReason = iota + 1
-	// ReasonProtocol: the peer speaks another version of the protocol.
+	// ReasonProtocol means that the peer uses another version of the protocol.
 	ReasonProtocol
-	// ReasonRole: this process does not serve peers of that role.
+	// ReasonRole means that this process does not serve peers of that role.
 	ReasonRole
-	// ReasonBusy: too many subscribers at once; come back after RetryAfter.
+	// ReasonBusy means that too many subscribers connected at once; retry after RetryAfter.
 	ReasonBusy
-	// ReasonStopping: the process is shutting down.
+	// ReasonStopping means that the process is shutting down.
 	ReasonStopping
 )
 
-// Refusal declines or ends a connection.
+// Refusal rejects a connection or ends an open one.
 type Refusal struct {
 	Reason     RefusalReason
 	Message    string
 	RetryAfter time.Duration
 }
 
-// RefusedError is a Refusal as the refused side reports it.
+// RefusedError is returned to the refused side and holds the received Refusal.
 type RefusedError struct {
 	Peer    string
 	Refusal Refusal
 }
 
-// Error names the peer and the reason.
+// Error implements error.
 func (e *RefusedError) Error() string {
 	return fmt.Sprintf("refused by %s: %s", e.Peer, e.Refusal.Message)
 }
 
-// Ping asks for a Pong and tells what the sender holds.
+// Ping requests a Pong and reports the sender's state.
 type Ping struct {
 	Sequence uint64
 	Position distribution.Position
-	// Reports are news of the nodes below a relay.
+	// Reports are new reports on the nodes connected to a relay.
 	Reports []NodeReport
-	// Announcements are back ends that the subscriber answers for and that the state sent
-	// to it does not show as they are.
+	// Announcements are back ends of the subscriber whose entry in the state sent to it is missing
+	// or outdated.
 	Announcements []distribution.Endpoint
-	// Evidence is what the subscriber's gate has seen of requests that end back ends, nil for
-	// nothing.
+	// Evidence is what the subscriber's gate has observed about requests that crash back ends, nil
+	// for nothing.
 	Evidence *quarantine.Evidence
-	// Rollouts are packed reports of the subscriber, or of those below a relay, on rollouts under way;
-	// empty for none.
+	// Rollouts are packed RolloutReports of the subscriber, or of the nodes connected to a relay,
+	// on running rollouts; empty for none.
 	Rollouts []byte
-	// Closed is the state of the subscriber's gate while orders keep it closed, nil otherwise.
+	// Closed is the state of the subscriber's gate while operator orders keep it closed, nil
+	// otherwise.
 	Closed *ClosedGate
-	// Quotas is what the subscriber saw of tenants that have a limit, nil while there are none.
+	// Quotas is the subscriber's usage report on tenants that have a limit, nil if there are none.
 	Quotas *quota.Report
 }
 
-// ClosedGate is the state of a gate that orders keep closed.
+// ClosedGate is the state of a gate that operator orders keep closed.
 type ClosedGate struct {
 	Reason exchange.Reason
-	// Running are the calls that are still at work behind it.
+	// Running is the number of calls in flight behind the gate.
 	Running int
 }
 
 // Pong answers a Ping.
 type Pong struct {
 	Sequence uint64
-	// Revision is current for the subscriber: all it needs up to it was sent.
+	// Revision is the revision up to which the subscriber has received every update relevant to it.
 	Revision uint64
-	// Confirmed says that Stale is known.
+	// Confirmed is true if Stale is known.
 	Confirmed bool
-	// Stale is how long before this answer the sender's state was confirmed to
-	// include everything accepted.
+	// Stale is the time between the last confirmation that the sender's state includes every
+	// accepted change and this Pong.
 	Stale time.Duration
-	// Servers are sent again when they have changed.
+	// Servers is the list of servers, sent only when it has changed since the last one sent.
 	Servers []Server
-	// Quotas are the shares of the tenants that the ping told of, and of limited ones; nil if they are not known.
+	// Quotas are the shares of the tenants in the Ping's report and of limited ones; nil if they
+	// are not known.
 	Quotas *quota.Shares
 }
 
-// Ack tells what a subscriber holds, without asking for anything.
+// Ack reports the position that a subscriber holds; it needs no response.
 type Ack struct {
 	Position distribution.Position
 }
 
-// NodeReport is what a relay tells the control plane of one node.
+// NodeReport is a report on one node for the control plane.
 type NodeReport struct {
 	Node      string
 	Group     string
 	Zone      string
 	Position  distribution.Position
 	Connected bool
-	// Closed is the state of the node's gate while orders keep it closed, nil otherwise.
+	// Closed is the state of the node's gate while operator orders keep it closed, nil otherwise.
 	Closed *ClosedGate
-	// Level is that of the contents that the node can read.
+	// Level is the level of contents that the node can read.
 	Level catalog.Level
 }
 
@@ -203,48 +205,50 @@
 	Message raft.Message
 }
 
-// Join asks to replace the machine of the same name.
+// Join requests that the sender replace the replica of the same name.
 type Join struct {
 	Member raft.Member
-	// Forwarded is set by a replica that sends the request on to its leader: a machine
-	// with an empty disk knows a few replicas only, and the leader may be none of them.
+	// Forwarded is set by a replica that forwards the request to its leader: a replica with an
+	// empty disk may not know the leader's address.
 	Forwarded bool
 }
 
-// Announce passes on to the leader what nodes announce: back ends, evidence of requests that
-// end them, and what gates have seen of rollouts.
+// Announce forwards the announcements of nodes to the leader: back ends, evidence about requests
+// that crash them, and rollout reports.
 type Announce struct {
 	Endpoints []distribution.Endpoint
 	Evidence  *quarantine.Evidence
 	Rollouts  []RolloutReport
-	// Closed goes no further than the server that hears it.
+	// Closed is handled by the receiving server and not forwarded.
 	Closed *ClosedGate
-	// Earlier are the replica's subscribers of an earlier release, nil for none.
+	// Earlier describes the replica's subscribers of an earlier release, nil for none.
 	Earlier *EarlierSubscribers
-	// Quotas are for the server that hears it. Sum is a replica's for the leader, Shares the leader's for a
-	// replica; nil for none.
+	// Quotas is handled by the receiving server and not forwarded. Sum is sent by a replica to the
+	// leader, Shares by the leader to a replica; nil for none.
 	Quotas *quota.Report
 	Sum    *quota.Sum
 	Shares *quota.Shares
 }
 
-// EarlierSubscribers tells of a replica's subscribers that cannot read every content.
+// EarlierSubscribers describes a replica's subscribers that cannot read every content.
 type EarlierSubscribers struct {
-	// Count is never zero.
+	// Count is the number of such subscribers, at least 1.
 	Count int
-	// Level is the least that they can read.
+	// Level is the lowest level of contents among them.
 	Level catalog.Level
 }
 
-// Empty reports whether nothing is announced.
+// Empty reports whether there are no endpoints, rollout reports or evidence; the other fields are
+// not considered.
 func (a Announce) Empty() bool {
 	return len(a.Endpoints) == 0 && len(a.Rollouts) == 0 && (a.Evidence == nil || a.Evidence.Empty())
 }
 
-// ErrUnexpected: the peer sent a frame that does not fit here.
+// ErrUnexpected reports a frame of a kind that is not allowed at this point.
 var ErrUnexpected = errors.New("unexpected frame")
 
-// Open performs the connecting side of the handshake.
+// Open performs the connecting side of the handshake. It returns a *RefusedError if the peer
+// refuses the connection.
 func Open(conn *wire.Conn, hello Hello, timeout time.Duration) (Welcome, error) {
 	hello.Protocol = Version
 	if err := conn.Send(KindHello, hello); err != nil {
@@ -268,7 +272,7 @@
 	}
 }
 
-// receiveRefusal decodes a Refusal into an error.
+// receiveRefusal decodes a Refusal and returns it as a *RefusedError.
 func receiveRefusal(conn *wire.Conn) error {
 	var refusal Refusal
 	if err := conn.Decode(&refusal); err != nil {
@@ -277,11 +281,11 @@
 	return &RefusedError{Peer: conn.Peer(), Refusal: refusal}
 }
 
-// ReceiveRefusal decodes a Refusal that ends an open connection.
+// ReceiveRefusal decodes a Refusal that ends an open connection and returns it as a *RefusedError.
 func ReceiveRefusal(conn *wire.Conn) error { return receiveRefusal(conn) }
 
-// Accept reads the Hello of the connecting side and checks cluster and protocol. On a
-// mismatch it has refused the peer and returns an error.
+// Accept reads the Hello of the connecting side and checks cluster, protocol and role. On a
+// mismatch it refuses the peer and returns an error.
 func Accept(conn *wire.Conn, clusterID string, timeout time.Duration) (Hello, error) {
 	kind, err := conn.Receive(timeout)
 	if err != nil {
@@ -306,7 +310,8 @@
 	return hello, nil
 }
 
-// Refuse sends a refusal and returns it as an error.
+// Refuse sends a refusal. It always returns an error, which describes the refusal or the failure to
+// send it.
 func Refuse(conn *wire.Conn, refusal Refusal) error {
 	if err := conn.Send(KindRefusal, refusal); err != nil {
 		return fmt.Errorf("refuse: %w", err)
--- a/pkg/protocol/rollout.go
+++ b/pkg/protocol/rollout.go
@@ -8,46 +8,48 @@
 	"bramblelift/pkg/rollout"
 )
 
-// RolloutReport is what one node tells the leader of one rollout that is under way: which step it holds,
-// and what its gate has seen if its back end is of the service. Nodes send it several times a second; a
-// newer one of the same node and service takes its place.
+// RolloutReport is a node's report on a running rollout for the leader: the step that the node
+// applies and, if its back end belongs to the service, the counts of its gate. Nodes send it
+// several times per second; a newer report of the same node and service replaces the older one.
 type RolloutReport struct {
 	Node    string
 	Service string
 	Number  uint64
-	// Phase and Share are those of the step that the node goes by.
+	// Phase and Share are those of the step that the node applies.
 	Phase rollout.Phase
 	Share int
-	// Gate is nil if the back end beside the node is of another service.
+	// Gate is nil if the back end beside the node belongs to another service.
 	Gate *rollout.Report
-	// AtWork is how many calls the gate's back end works on.
+	// AtWork is the number of calls in flight at the gate's back end.
 	AtWork int
 }
 
-// NewestRollouts adds reports to a list and leaves out those that they replace.
+// NewestRollouts merges reports into a list, in which each replaces the earlier one of the same
+// node and service.
 func NewestRollouts(list, more []RolloutReport) []RolloutReport {
 	if len(more) == 0 {
 		return list
 	}
 	type key struct{ node, service string }
 	newest := map[key]int{}
-	var kept []RolloutReport
+	var merged []RolloutReport
 	for _, reports := range [][]RolloutReport{list, more} {
 		for _, report := range reports {
 			k := key{report.Node, report.Service}
 			if i, found := newest[k]; found {
-				kept[i] = report
+				merged[i] = report
 				continue
 			}
-			newest[k] = len(kept)
-			kept = append(kept, report)
+			newest[k] = len(merged)
+			merged = append(merged, report)
 		}
 	}
-	return kept
+	return merged
 }
 
-// PackRollouts packs reports for a Ping, nil for none. As a field of their own type, gob would describe that
-// type in the first ping of each connection (some 400 bytes), though most never send a report.
+// PackRollouts encodes reports for Ping.Rollouts, nil for none. A typed field would make gob send a
+// type description of about 400 bytes in the first ping of each connection, although most
+// connections carry no reports.
 func PackRollouts(reports []RolloutReport) ([]byte, error) {
 	if len(reports) == 0 {
 		return nil, nil
@@ -59,7 +61,7 @@
 	return packed.Bytes(), nil
 }
 
-// UnpackRollouts is the inverse of PackRollouts.
+// UnpackRollouts decodes the result of PackRollouts.
 func UnpackRollouts(packed []byte) ([]RolloutReport, error) {
 	if len(packed) == 0 {
 		return nil, nil
--- a/pkg/protocol/rollout_test.go
+++ b/pkg/protocol/rollout_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-func TestNewerReportsOfANodeReplaceEarlierOnes(t *testing.T) {
+func TestNewerRolloutReportReplacesOlder(t *testing.T) {
 	is := is.New(t)
 	report := func(node, service string, share int) RolloutReport {
 		return RolloutReport{Node: node, Service: service, Share: share}
@@ -21,7 +21,7 @@
 	is.True(!Announce{Rollouts: list}.Empty())
 }
 
-func TestReportsSurviveTheirPacking(t *testing.T) {
+func TestPackedRolloutReportsRoundTrip(t *testing.T) {
 	is := is.New(t)
 	report := RolloutReport{Node: "n", Service: "s", Number: 3, Phase: rollout.Running, Share: 40, AtWork: 2,
 		Gate: &rollout.Report{Service: "s", Number: 3, Version: "v2", Life: 1 << 63, Admitted: 9, Routes: []rollout.RouteCount{{Route: "r", Failed: 1}}}}
