--- a/pkg/wire/accept.go
+++ b/pkg/wire/accept.go
@@ -7,8 +7,9 @@
 	"sync"
 )
 
-// AcceptAll hands each connection of a listener to serve, in a goroutine of its own,
-// until the listener is closed. The error is nil if that was because the context ended.
+// AcceptAll calls serve for each connection of a listener, in its own goroutine of the group, until
+// the listener is closed. It returns nil if the context has ended by then, otherwise the accept
+// error.
 func AcceptAll(ctx context.Context, listener net.Listener, group *sync.WaitGroup, serve func(context.Context, net.Conn)) error {
 	for {
 		conn, err := listener.Accept()
--- a/pkg/wire/conn.go
+++ b/pkg/wire/conn.go
@@ -1,10 +1,9 @@
-// Package wire carries typed messages between the system's own processes: gob values
-// in frames of bounded size over one TCP connection.
+// Package wire sends typed messages between the system's own processes as gob values, in frames of
+// bounded size on one TCP connection.
 //
-// A frame is a length (unsigned varint), a kind (one byte) and a piece of the
-// connection's gob stream. One long-lived encoder a connection sends each type's
-// description once. The length is checked before anything is decoded; a bad frame
-// ends its connection and nothing else.
+// A frame is a length (unsigned varint), a kind (one byte) and the next part of the connection's
+// gob stream. One encoder per connection sends each type description only once. The length is
+// checked before anything is decoded. An invalid frame affects only its connection.
 package wire
 
 import (
@@ -20,30 +19,30 @@
 	"time"
 )
 
-// DefaultMaxFrame bounds a frame in bytes; the largest ones carry snapshots.
+// DefaultMaxFrame bounds the size of a frame in bytes; the largest frames carry snapshots.
 const DefaultMaxFrame = 64 << 20
 
-// ErrFrameTooLarge: the peer announced a frame beyond the bound.
+// ErrFrameTooLarge reports a received frame that is empty or exceeds the limit.
 var ErrFrameTooLarge = errors.New("frame exceeds the bound")
 
-// Kind tells the type of a frame's value.
+// Kind identifies the type of a frame's value.
 type Kind uint8
 
-// Direction tells whether a frame was sent or received.
+// Direction states whether a frame was sent or received.
 type Direction string
 
 const (
-	// Sent frames left this process.
+	// Sent marks frames sent by this process.
 	Sent Direction = "sent"
-	// Received frames came in.
+	// Received marks frames received by this process.
 	Received Direction = "received"
 )
 
-// Observer is told of each frame with its full size in bytes.
+// Observer is called for each frame with its full size in bytes.
 type Observer func(kind Kind, direction Direction, size int)
 
-// Conn is one connection. Send may be called by several goroutines, Receive and
-// Decode by one.
+// Conn is one connection. Send may be called concurrently; Receive and Decode must be called by one
+// goroutine.
 type Conn struct {
 	conn     net.Conn
 	reader   *bufio.Reader
@@ -59,7 +58,7 @@
 	writeTimeout time.Duration
 }
 
-// NewConn wraps a connection. observe may be nil.
+// NewConn wraps a connection. maxFrame bounds received frames in bytes; observe may be nil.
 func NewConn(conn net.Conn, maxFrame int, writeTimeout time.Duration, observe Observer) *Conn {
 	c := &Conn{
 		conn: conn, reader: bufio.NewReaderSize(conn, readBufferSize),
@@ -70,13 +69,13 @@
 	return c
 }
 
-// readBufferSize is small: a relay holds thousands of connections.
+// readBufferSize is small because a relay holds thousands of connections.
 const readBufferSize = 1024
 
 // Peer returns the remote address.
 func (c *Conn) Peer() string { return c.conn.RemoteAddr().String() }
 
-// Close ends the connection; pending calls fail.
+// Close closes the connection; pending operations fail.
 func (c *Conn) Close() error { return c.conn.Close() }
 
 // Send writes one value within the write timeout.
@@ -91,7 +90,7 @@
 	frame = append(frame, byte(kind))
 	frame = append(frame, c.encoded.Bytes()...)
 	if c.encoded.Cap() > readBufferSize*16 {
-		c.shrink()
+		c.releaseSendBuffer()
 	}
 	if err := c.conn.SetWriteDeadline(time.Now().Add(c.writeTimeout)); err != nil {
 		return fmt.Errorf("set write deadline to %s: %w", c.Peer(), err)
@@ -99,17 +98,17 @@
 	if _, err := c.conn.Write(frame); err != nil {
 		return fmt.Errorf("write frame to %s: %w", c.Peer(), err)
 	}
-	c.tell(kind, Sent, len(frame))
+	c.notifyObserver(kind, Sent, len(frame))
 	return nil
 }
 
-// shrink lets go of a buffer that one large frame has grown.
-func (c *Conn) shrink() {
+// releaseSendBuffer drops the send buffer after a large frame.
+func (c *Conn) releaseSendBuffer() {
 	c.encoded = bytes.Buffer{}
 }
 
-// Receive reads one frame, waiting at most timeout (zero means for ever). Decode must
-// follow.
+// Receive reads one frame within timeout, zero for none. Decode must be called before the next
+// Receive.
 func (c *Conn) Receive(timeout time.Duration) (Kind, error) {
 	deadline := time.Time{}
 	if timeout > 0 {
@@ -136,11 +135,11 @@
 	if _, err := io.CopyN(&c.received, c.reader, int64(length)); err != nil {
 		return 0, fmt.Errorf("read frame body from %s: %w", c.Peer(), err)
 	}
-	c.tell(Kind(kind), Received, int(length)+1+uvarintSize(length))
+	c.notifyObserver(Kind(kind), Received, int(length)+1+uvarintSize(length))
 	return Kind(kind), nil
 }
 
-// Decode decodes the value of the frame just received.
+// Decode decodes the value of the last received frame. It fails if the frame has trailing bytes.
 func (c *Conn) Decode(value any) error {
 	if err := c.decoder.Decode(value); err != nil {
 		return fmt.Errorf("decode frame from %s: %w", c.Peer(), err)
@@ -151,7 +150,7 @@
 	return nil
 }
 
-func (c *Conn) tell(kind Kind, direction Direction, size int) {
+func (c *Conn) notifyObserver(kind Kind, direction Direction, size int) {
 	if c.observe != nil {
 		c.observe(kind, direction, size)
 	}
--- a/pkg/wire/conn_test.go
+++ b/pkg/wire/conn_test.go
@@ -22,7 +22,7 @@
 	Lines []string
 }
 
-// memoryConn is one side of a connection whose input is given.
+// memoryConn is a connection that reads from a given input.
 type memoryConn struct {
 	net.Conn
 	input io.Reader
@@ -32,11 +32,11 @@
 func (m memoryConn) SetReadDeadline(time.Time) error { return nil }
 func (m memoryConn) RemoteAddr() net.Addr            { return &net.TCPAddr{IP: net.IPv4(10, 0, 0, 1), Port: 9} }
 
-func reader(data []byte) *Conn {
+func connReading(data []byte) *Conn {
 	return NewConn(memoryConn{input: bytes.NewReader(data)}, testLimit, time.Second, nil)
 }
 
-func TestFramesArriveAndAreCounted(t *testing.T) {
+func TestFramesRoundTripAndAreObserved(t *testing.T) {
 	is := is.New(t)
 	left, right := net.Pipe()
 	defer left.Close()
@@ -64,7 +64,7 @@
 	is.Equal(sent, received)
 }
 
-func TestBadFramesAreRefused(t *testing.T) {
+func TestMalformedFramesAreRejected(t *testing.T) {
 	huge := append(binary.AppendUvarint(nil, testLimit+1), byte(testKind))
 	for name, test := range map[string]struct {
 		data []byte
@@ -75,13 +75,13 @@
 		"cut":       {[]byte{9, 5, 1, 2}, io.EOF},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := reader(test.data).Receive(0)
+			_, err := connReading(test.data).Receive(0)
 			is.New(t).True(errors.Is(err, test.want) || errors.Is(err, io.ErrUnexpectedEOF))
 		})
 	}
 }
 
-func TestLeftOverBytesAreAnError(t *testing.T) {
+func TestTrailingBytesInFrameAreAnError(t *testing.T) {
 	is := is.New(t)
 	var recorded bytes.Buffer
 	left, right := net.Pipe()
@@ -92,19 +92,18 @@
 	_, _ = io.Copy(&recorded, right)
 	frame := recorded.Bytes()
 	longer := append([]byte{frame[0] + 1}, append(frame[1:len(frame):len(frame)], 0)...)
-	conn := reader(longer)
+	conn := connReading(longer)
 	_, err := conn.Receive(0)
 	is.NoErr(err)
 	is.True(conn.Decode(&message{}) != nil)
 }
 
-// FuzzReceive checks that no bytes of a peer make a connection panic or take more
-// memory than the bound.
+// FuzzReceive checks that no input makes a connection panic or exceed its memory bound.
 func FuzzReceive(f *testing.F) {
 	f.Add([]byte{3, 5, 1, 2, 3})
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0x0f, 1})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		conn := reader(data)
+		conn := connReading(data)
 		for {
 			if _, err := conn.Receive(0); err != nil {
 				return
