--- a/pkg/relay/announced.go
+++ b/pkg/relay/announced.go
@@ -7,47 +7,48 @@
 	"bramblelift/pkg/quarantine"
 )
 
-// maxAnnounced bounds what waits for the next ping; nodes announce for some seconds, or until the
-// state shows it, so that what does not fit comes again.
-const maxAnnounced = 1024
+// maxPendingAnnouncements bounds the queue of announcements. Nodes repeat their announcements for
+// some seconds or until the state includes them, so a dropped one is sent again.
+const maxPendingAnnouncements = 1024
 
-// announceQueue holds what nodes announced until the next ping takes it.
+// announceQueue collects the announcements of nodes until the next ping.
 type announceQueue struct {
 	mu      sync.Mutex
-	waiting protocol.Announce
+	pending protocol.Announce
 }
 
-// add reports whether there was room.
+// add appends announcements. It returns false if the queue is full.
 func (q *announceQueue) add(announced protocol.Announce) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	var evidence quarantine.Evidence
-	if q.waiting.Evidence != nil {
-		evidence = *q.waiting.Evidence
+	if q.pending.Evidence != nil {
+		evidence = *q.pending.Evidence
 	}
-	if len(q.waiting.Endpoints)+len(evidence.Ends)+len(evidence.Answers)+len(q.waiting.Rollouts) >= maxAnnounced {
+	if len(q.pending.Endpoints)+len(evidence.Ends)+len(evidence.Answers)+len(q.pending.Rollouts) >= maxPendingAnnouncements {
 		return false
 	}
-	q.waiting.Endpoints = append(q.waiting.Endpoints, announced.Endpoints...)
-	q.waiting.Rollouts = protocol.NewestRollouts(q.waiting.Rollouts, announced.Rollouts)
+	q.pending.Endpoints = append(q.pending.Endpoints, announced.Endpoints...)
+	q.pending.Rollouts = protocol.NewestRollouts(q.pending.Rollouts, announced.Rollouts)
 	if announced.Evidence != nil {
 		joined := evidence.Join(*announced.Evidence)
-		q.waiting.Evidence = &joined
+		q.pending.Evidence = &joined
 	}
 	return true
 }
 
+// take returns and removes the pending announcements.
 func (q *announceQueue) take() protocol.Announce {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	taken := q.waiting
-	q.waiting = protocol.Announce{}
+	taken := q.pending
+	q.pending = protocol.Announce{}
 	return taken
 }
 
-// takeAnnounced takes in what a node announces, for control.
-func (s *Server) takeAnnounced(announced protocol.Announce) {
-	if !s.announced.add(announced) {
+// queueAnnouncement queues a node's announcement for the control plane and requests an early ping.
+func (s *Server) queueAnnouncement(announced protocol.Announce) {
+	if !s.announcements.add(announced) {
 		s.logger.Log("event", "announcement_dropped", "endpoints", len(announced.Endpoints), "reason", "too much waits")
 		return
 	}
--- a/pkg/relay/announced_test.go
+++ b/pkg/relay/announced_test.go
@@ -10,7 +10,8 @@
 	"github.com/matryer/is"
 )
 
-func TestAnnouncementsWaitForThePingAndAreBounded(t *testing.T) {
+// Pending announcements must be sent once, and nodes must not make the queue grow without bound.
+func TestAnnouncementQueueIsDrainedByPingAndBounded(t *testing.T) {
 	is := is.New(t)
 	var queue announceQueue
 	end := func(instance string) protocol.Announce {
@@ -23,7 +24,7 @@
 	is.Equal(len(taken.Evidence.Ends), 2)
 	is.Equal(len(taken.Endpoints), 1)
 	is.True(queue.take().Empty())
-	for range maxAnnounced {
+	for range maxPendingAnnouncements {
 		is.True(queue.add(end("a")))
 	}
 	is.Equal(queue.add(end("a")), false)
--- a/pkg/relay/relay.go
+++ b/pkg/relay/relay.go
@@ -1,6 +1,6 @@
-// Package relay is the relay as a daemon: one subscription to the control plane, which
-// it serves to many nodes. It keeps nothing on disk; after a restart it fetches the
-// state again, and serves it with the age of its last confirmation.
+// Package relay implements the relay daemon. It holds one subscription to the control plane and
+// serves the state to many nodes. It stores nothing on disk; after a restart it fetches the state
+// again and reports how long ago it was confirmed.
 package relay
 
 import (
@@ -31,14 +31,14 @@
 	handshakeTimeout = 3 * time.Second
 	writeTimeout     = 3 * time.Second
 	dialTimeout      = time.Second
-	// nodeSilence ends the subscription of a node that sends no pings.
-	nodeSilence = 10 * time.Second
-	// Admission: a relay takes its share of a zone back within a second or two.
+	// nodeSilenceTimeout ends the subscription of a node that sends no pings.
+	nodeSilenceTimeout = 10 * time.Second
+	// The admission rate lets a relay accept its share of a zone's nodes within about two seconds.
 	admissionPerSecond = 400
 	admissionBurst     = 200
 )
 
-// Server is one relay.
+// Server is one relay: a subscriber of the control plane and a hub for nodes.
 type Server struct {
 	settings settings.Relay
 	logger   log.Logger
@@ -49,16 +49,16 @@
 	listener net.Listener
 	traffic  *metrics.Traffic
 	reports  *reportQueue
-	// announced is what nodes announced and control is to hear.
-	announced announceQueue
-	// quotas sum what nodes tell of tenants that have a limit.
+	// announcements are queued for the control plane.
+	announcements announceQueue
+	// quotas aggregates the nodes' reports on tenants that have a limit.
 	quotas *quota.Replica
 
 	mu     sync.Mutex
 	holder *distribution.Holder
 }
 
-// New opens the relay's sockets.
+// New opens the relay's listeners and returns the relay; Run starts it.
 func New(config settings.Relay, logger log.Logger) (*Server, error) {
 	verifier, err := config.Verifier()
 	if err != nil {
@@ -71,13 +71,13 @@
 		quotas:  quota.NewReplica(config.Name, settings.Quotas{}.Policy()),
 	}
 	s.hub = stream.NewHub(stream.HubConfig{
-		Name: config.Name, SilenceTimeout: nodeSilence,
+		Name: config.Name, SilenceTimeout: nodeSilenceTimeout,
 		Admission:   stream.AdmissionConfig{PerSecond: admissionPerSecond, Burst: admissionBurst},
 		Now:         s.clock.Elapsed,
 		ConfirmedAt: func() (time.Duration, bool) { return s.client.ConfirmedAt() },
 		WantFresh:   func() { s.client.PingSoon() },
 		OnReport:    s.reports.add,
-		OnAnnounce:  s.takeAnnounced,
+		OnAnnounce:  s.queueAnnouncement,
 		Quotas:      s.quotas,
 	}, s.holder.State())
 	if s.listener, err = net.Listen("tcp", config.Listen); err != nil {
@@ -112,25 +112,26 @@
 		Now:            s.clock.Elapsed,
 		TakeReports:    s.takeReports,
 		Announce:       s.announce,
-		OnQuotas:       s.hearQuotas,
+		OnQuotas:       s.forwardQuotas,
 	}, s, stream.Candidates(s.settings.Zone, s.settings.Controls))
 	return err
 }
 
-// announce returns what control is to hear with the next ping.
+// announce returns the announcements for the next ping to the control plane.
 func (s *Server) announce() protocol.Announce {
-	announced := s.announced.take()
+	announced := s.announcements.take()
 	if report := s.quotas.Report(s.clock.Elapsed()); report.Nodes > 0 {
 		announced.Quotas = &report
 	}
 	return announced
 }
 
-// hearQuotas passes on shares of tenants' limits, which were asked for at a moment.
-func (s *Server) hearQuotas(asked time.Duration, shares quota.Shares) {
+// forwardQuotas pushes shares from the control plane to the nodes. requestedAt is the send time of
+// the ping by which they are dated.
+func (s *Server) forwardQuotas(requestedAt time.Duration, shares quota.Shares) {
 	now := s.clock.Elapsed()
-	shares.Age += now - asked
-	// Replicas answer with the tenants that the nodes told of, and those that are limited.
+	shares.Age += now - requestedAt
+	// Replicas send only the shares of limited tenants and of those in the relay's report.
 	shares.Partial = true
 	s.hub.PushQuotas(s.quotas.Hear(now, shares))
 }
@@ -142,7 +143,7 @@
 	return s.holder.State().Position()
 }
 
-// Apply implements stream.Target: the checked state goes to the nodes.
+// Apply implements stream.Target. It verifies the update and passes the new state to the hub.
 func (s *Server) Apply(update *distribution.Update) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -163,25 +164,25 @@
 	}
 }
 
-// takeReports returns the news for the next ping; the first one on a new subscription
-// would otherwise lack what an earlier server was told.
+// takeReports returns the node reports for the next ping: only the changed ones, or all after a
+// change of server, because the new server has none of them.
 func (s *Server) takeReports() []protocol.NodeReport {
 	server := s.client.Server()
-	if s.reports.changedServer(server) {
-		s.reports.drop()
+	if s.reports.switchServer(server) {
+		s.reports.discard()
 		return s.hub.Reports()
 	}
 	return s.reports.take()
 }
 
-// Run serves until the context ends.
+// Run serves nodes until the context ends or the admin server fails.
 func (s *Server) Run(ctx context.Context) error {
 	s.logger.Log("event", "started", "listen", s.listener.Addr(), "admin", s.admin.Address())
 	ctx, cancel := context.WithCancel(ctx)
 	var group sync.WaitGroup
 	defer group.Wait()
 	defer cancel()
-	// Never called off: cancel comes before the wait for the goroutines that this ends.
+	// The stop function is not needed: ctx is always canceled before the goroutines are awaited.
 	context.AfterFunc(ctx, func() {
 		s.hub.Stop()
 		s.listener.Close()
@@ -193,7 +194,7 @@
 	return err
 }
 
-// accept serves nodes that connect.
+// accept serves the connections of nodes.
 func (s *Server) accept(ctx context.Context, group *sync.WaitGroup) {
 	if err := wire.AcceptAll(ctx, s.listener, group, s.serve); err != nil {
 		s.logger.Log("event", "accept_failed", "error", err)
@@ -217,7 +218,7 @@
 	s.logger.Log("event", "node_left", "node", hello.Name, "peer", conn.Peer(), "error", err)
 }
 
-// Status is what /status shows.
+// Status is the response of /status.
 type Status struct {
 	Name        string                `json:"name"`
 	Zone        string                `json:"zone"`
--- a/pkg/relay/reports.go
+++ b/pkg/relay/reports.go
@@ -6,7 +6,7 @@
 	"bramblelift/pkg/protocol"
 )
 
-// reportQueue holds the newest report of each node until the next ping takes them.
+// reportQueue holds the newest report of each node until the next ping.
 type reportQueue struct {
 	mu      sync.Mutex
 	reports map[string]protocol.NodeReport
@@ -34,14 +34,15 @@
 	return taken
 }
 
-func (q *reportQueue) drop() {
+func (q *reportQueue) discard() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	clear(q.reports)
 }
 
-// changedServer notes which server the reports go to.
-func (q *reportQueue) changedServer(server string) bool {
+// switchServer records the server that receives the reports; it reports whether the server has
+// changed.
+func (q *reportQueue) switchServer(server string) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	changed := q.server != server
