--- a/pkg/deflate/deflate.go
+++ b/pkg/deflate/deflate.go
@@ -1,6 +1,6 @@
-// Package deflate makes large pieces of state small before they are kept or sent: entries of
-// the replicated log, snapshots, and frames to subscribers. A configuration of some thousand
-// routes repeats its words, and takes a tenth of its size then.
+// Package deflate compresses large pieces of state before they are stored or sent: entries of the
+// replicated log, snapshots, and frames to subscribers. A configuration of some thousand routes is
+// repetitive and shrinks to about a tenth of its size.
 package deflate
 
 import (
@@ -11,14 +11,14 @@
 	"io"
 )
 
-// MinSize is from how many bytes on data is worth compressing: below it the processor time
-// costs more than the bytes.
+// MinSize is the size in bytes from which data is compressed. Below it, compression costs more
+// processor time than the saved bytes are worth.
 const MinSize = 4 << 10
 
-// ErrTooLarge: the data would grow beyond the bound.
+// ErrTooLarge reports data that would expand beyond the limit.
 var ErrTooLarge = errors.New("expanded data exceeds the bound")
 
-// Compress returns the data compressed for speed.
+// Compress returns the data in DEFLATE format, compressed at the fastest level.
 func Compress(data []byte) ([]byte, error) {
 	var out bytes.Buffer
 	w, err := flate.NewWriter(&out, flate.BestSpeed)
@@ -34,8 +34,8 @@
 	return out.Bytes(), nil
 }
 
-// Expand undoes Compress. Data of more than limit bytes is refused with ErrTooLarge before
-// more than that is held.
+// Expand decompresses the result of Compress. It returns ErrTooLarge for data of more than limit
+// bytes, of which it reads at most limit+1 bytes.
 func Expand(compressed []byte, limit int) ([]byte, error) {
 	r := flate.NewReader(bytes.NewReader(compressed))
 	defer r.Close()
--- a/pkg/deflate/deflate_test.go
+++ b/pkg/deflate/deflate_test.go
@@ -26,8 +26,8 @@
 	})
 }
 
-// A small frame must not be able to fill the memory.
-func TestExpandStopsAtTheBound(t *testing.T) {
+// Guards against small frames that expand until memory is exhausted.
+func TestExpandRejectsDataOverLimit(t *testing.T) {
 	is := is.New(t)
 	compressed, err := Compress(make([]byte, testLimit+1))
 	is.NoErr(err)
@@ -37,17 +37,17 @@
 	is.NoErr(err)
 }
 
-func TestDamagedDataIsAnError(t *testing.T) {
+func TestCorruptDataIsAnError(t *testing.T) {
 	is := is.New(t)
 	compressed, err := Compress([]byte(strings.Repeat("route ", MinSize)))
 	is.NoErr(err)
 	_, err = Expand(compressed[:len(compressed)/2], testLimit)
 	is.True(err != nil)
-	_, err = UnpackRecord([]byte{compressedMark, 0xff, 0xff}, testLimit)
+	_, err = UnpackRecord([]byte{compressedPrefix, 0xff, 0xff}, testLimit)
 	is.True(err != nil)
 }
 
-func TestRecordsAreCompressedIfLarge(t *testing.T) {
+func TestLargeRecordsAreCompressed(t *testing.T) {
 	is := is.New(t)
 	small := []byte(`{"roll":{"version":1}}`)
 	large := []byte(`{"routes":"` + strings.Repeat("r-1234 /path/ ", MinSize) + `"}`)
@@ -63,7 +63,7 @@
 	is.True(len(record)*5 < len(large))
 }
 
-// What programs before this one wrote is read as it is.
+// Records written uncompressed by earlier releases must remain readable.
 func TestUncompressedRecordsAreRead(t *testing.T) {
 	is := is.New(t)
 	document := []byte(`{"routes":"` + strings.Repeat("r", MinSize) + `"}`)
--- a/pkg/deflate/record.go
+++ b/pkg/deflate/record.go
@@ -2,11 +2,12 @@
 
 import "fmt"
 
-// compressedMark begins a record that is compressed. Records are JSON documents, none of
-// which begins with it.
-const compressedMark = 0x01
+// compressedPrefix is the first byte of a compressed record. Uncompressed records are JSON
+// documents, which never start with it.
+const compressedPrefix = 0x01
 
-// PackRecord returns a record for a log or a snapshot, compressed if it is large.
+// PackRecord returns a record for a log or a snapshot, compressed if the document has at least
+// MinSize bytes.
 func PackRecord(document []byte) ([]byte, error) {
 	if len(document) < MinSize {
 		return document, nil
@@ -15,12 +16,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("pack record: %w", err)
 	}
-	return append([]byte{compressedMark}, compressed...), nil
+	return append([]byte{compressedPrefix}, compressed...), nil
 }
 
-// UnpackRecord undoes PackRecord, and leaves records of earlier programs as they are.
+// UnpackRecord returns the document of a record from PackRecord. Uncompressed records, also those
+// of earlier releases, are returned unchanged. limit bounds the expanded size in bytes.
 func UnpackRecord(record []byte, limit int) ([]byte, error) {
-	if len(record) == 0 || record[0] != compressedMark {
+	if len(record) == 0 || record[0] != compressedPrefix {
 		return record, nil
 	}
 	document, err := Expand(record[1:], limit)
