--- a/pkg/exchange/body.go
+++ b/pkg/exchange/body.go
@@ -42,9 +42,9 @@
 
 // Body is a request body, buffered whole unless it exceeds MaxBuffered.
 type Body struct {
-	data []byte
-	rest io.Reader
-	read bool
+	data     []byte
+	rest     io.Reader
+	consumed bool
 }
 
 // ReadBody reads a request's body up to MaxBuffered.
@@ -60,7 +60,7 @@
 }
 
 // Repeatable reports whether the body can be sent again.
-func (b *Body) Repeatable() bool { return b.rest == nil || !b.read }
+func (b *Body) Repeatable() bool { return b.rest == nil || !b.consumed }
 
 // Data returns the buffered part of the body; it must not be modified.
 func (b *Body) Data() []byte { return b.data }
@@ -71,17 +71,17 @@
 // Empty reports whether the body has no bytes.
 func (b *Body) Empty() bool { return len(b.data) == 0 && b.rest == nil }
 
-// Attach sets the body of a request. Its declared length is used for a body that is not buffered
-// whole. The reader cannot be rewound, which prevents the HTTP transport from retrying the request
-// itself.
-func (b *Body) Attach(request *http.Request, declared int64) {
-	request.ContentLength = declared
+// Attach sets the body of a request. declaredLength is the content length used for a body that is
+// not buffered whole. The reader cannot be rewound, which prevents the HTTP transport from retrying
+// the request itself.
+func (b *Body) Attach(request *http.Request, declaredLength int64) {
+	request.ContentLength = declaredLength
 	if b.rest == nil {
 		request.ContentLength = int64(len(b.data))
 		request.Body = io.NopCloser(readerOnly{bytes.NewReader(b.data)})
 		return
 	}
-	b.read = true
+	b.consumed = true
 	request.Body = io.NopCloser(io.MultiReader(bytes.NewReader(b.data), b.rest))
 }
 
--- a/pkg/exchange/exchange.go
+++ b/pkg/exchange/exchange.go
@@ -192,7 +192,8 @@
 }
 
 // ServerFailed reports whether a status means that the back end failed a call which another back
-// end might complete. A gateway timeout is excluded, since the time has passed for any of them.
+// end might complete. A gateway timeout is excluded, since the deadline has passed for every back
+// end.
 func ServerFailed(status int) bool {
 	return status >= http.StatusInternalServerError && status != http.StatusGatewayTimeout && status != http.StatusNotImplemented
 }
--- a/pkg/exchange/pacer_test.go
+++ b/pkg/exchange/pacer_test.go
@@ -82,10 +82,10 @@
 func TestLargeResponsesAreSentInOrder(t *testing.T) {
 	is := is.New(t)
 	p, c := newTestPacer(8)
-	answer := func(maxDuration time.Duration) io.ReadCloser {
+	newResponse := func(maxDuration time.Duration) io.ReadCloser {
 		return p.Answer(io.NopCloser(bytes.NewReader(make([]byte, 50_000))), 50_000, maxDuration)
 	}
-	first, second := answer(time.Minute), answer(time.Minute)
+	first, second := newResponse(time.Minute), newResponse(time.Minute)
 	_, err := io.ReadAll(first)
 	is.NoErr(err)
 	is.True(c.now <= timeAtRequestShare(50_000))
@@ -93,8 +93,8 @@
 	is.NoErr(err)
 	is.True(c.now > timeAtRequestShare(90_000) && c.now <= timeAtRequestShare(100_000))
 	p, c = newTestPacer(8)
-	abandoned, next := answer(time.Minute), answer(time.Minute)
-	urgent := answer(20 * time.Millisecond)
+	abandoned, next := newResponse(time.Minute), newResponse(time.Minute)
+	urgent := newResponse(20 * time.Millisecond)
 	is.NoErr(abandoned.Close())
 	is.NoErr(abandoned.Close()) // releases once
 	_, err = io.ReadAll(urgent)
@@ -102,7 +102,7 @@
 	is.True(c.now <= 20*time.Millisecond)
 	_, err = io.ReadAll(next)
 	is.NoErr(err)
-	last := answer(time.Minute)
+	last := newResponse(time.Minute)
 	_, err = io.ReadAll(last)
 	is.NoErr(err)
 	is.True(c.now > timeAtRequestShare(140_000) && c.now <= timeAtRequestShare(150_000)) // next, urgent and last
--- a/pkg/stream/client.go
+++ b/pkg/stream/client.go
@@ -78,10 +78,11 @@
 	target   Target
 	selector *Selector
 
-	// serversMu guards the configured servers (seeds) and the list received from servers.
-	serversMu        sync.Mutex
-	seeds            []Candidate
-	announcedServers []protocol.Server
+	// serversMu guards seeds, the configured servers, and discoveredServers, the list received from
+	// servers.
+	serversMu         sync.Mutex
+	seeds             []Candidate
+	discoveredServers []protocol.Server
 
 	confirmedAt atomic.Int64
 	// earlyPing holds at most one request for an early ping.
@@ -123,24 +124,23 @@
 	c.updateCandidates()
 }
 
-// setAnnouncedServers replaces the list of servers received from a server. An empty list is
-// ignored.
-func (c *Client) setAnnouncedServers(servers []protocol.Server) {
+// setDiscoveredServers replaces the list received from a server. An empty list is ignored.
+func (c *Client) setDiscoveredServers(servers []protocol.Server) {
 	if len(servers) == 0 {
 		return
 	}
 	c.serversMu.Lock()
 	defer c.serversMu.Unlock()
-	c.announcedServers = servers
+	c.discoveredServers = servers
 	c.updateCandidates()
 }
 
-// updateCandidates passes the announced servers, and the seeds not among them, to the selector;
+// updateCandidates passes the discovered servers, and the seeds not among them, to the selector;
 // serversMu must be held.
 func (c *Client) updateCandidates() {
 	var all []Candidate
 	known := map[string]bool{}
-	for _, server := range c.announcedServers {
+	for _, server := range c.discoveredServers {
 		all = append(all, Candidate{Address: server.Address, Near: server.Zone == c.config.Hello.Zone})
 		known[server.Address] = true
 	}
@@ -171,7 +171,7 @@
 
 // Run maintains the subscription until the context ends.
 func (c *Client) Run(ctx context.Context) {
-	var successor *session
+	var successor *clientSession
 	for ctx.Err() == nil {
 		s, err := successor, error(nil)
 		if s == nil {
@@ -192,7 +192,7 @@
 
 // openNext waits for the selector's backoff and subscribes to the server it selects. It returns
 // errNearerServer if the server's Welcome lists a server in the client's zone.
-func (c *Client) openNext(ctx context.Context) (*session, error) {
+func (c *Client) openNext(ctx context.Context) (*clientSession, error) {
 	candidate, wait := c.selector.Next(c.config.Now())
 	if !sleep(ctx, wait) {
 		return nil, ctx.Err()
@@ -203,13 +203,13 @@
 		err = errNearerServer
 	}
 	if err != nil {
-		return &session{address: candidate.Address}, err
+		return &clientSession{address: candidate.Address}, err
 	}
 	return s, nil
 }
 
 // handleSessionEnd updates the selector after a subscription, or an attempt to open one, has ended.
-func (c *Client) handleSessionEnd(s *session, err error) {
+func (c *Client) handleSessionEnd(s *clientSession, err error) {
 	now := c.config.Now()
 	switch {
 	case s.successor != nil:
@@ -225,7 +225,7 @@
 }
 
 // moveReason describes for the log why a successor was opened.
-func (s *session) moveReason() string {
+func (s *clientSession) moveReason() string {
 	if standing := s.leaveReason.Load(); standing != nil {
 		return fmt.Sprintf("the server is stale (confirmed=%t stale=%s behind=%t)", standing.Confirmed, standing.Stale, standing.Behind)
 	}
@@ -251,7 +251,7 @@
 	return 0
 }
 
-func (c *Client) confirm(at time.Duration) {
+func (c *Client) advanceConfirmedAt(at time.Duration) {
 	if at <= time.Duration(c.confirmedAt.Load()) {
 		return
 	}
--- a/pkg/stream/client_session.go
+++ b/pkg/stream/client_session.go
@@ -15,8 +15,8 @@
 	"bramblelift/pkg/wire"
 )
 
-// session is one open subscription of a client, with its connection.
-type session struct {
+// clientSession is one open subscription of a client, with its connection.
+type clientSession struct {
 	client  *Client
 	address string
 	conn    *wire.Conn
@@ -28,13 +28,13 @@
 
 	mu           sync.Mutex
 	subscription *Subscription
-	// lastPongSentAt is when the last answered ping was sent, on the client's clock. Only the
-	// reader uses it.
-	lastPongSentAt time.Duration
+	// answeredPingSentAt is the send time of the last answered ping, on the client's clock. Only
+	// the reader uses it.
+	answeredPingSentAt time.Duration
 	// openingSuccessor is set while a subscription to another server is being opened. successor is
 	// that subscription once established; it is final when run has returned.
 	openingSuccessor bool
-	successor        *session
+	successor        *clientSession
 	// leaveReason is the server's standing that made the selector reject it, nil while the server
 	// is acceptable.
 	leaveReason atomic.Pointer[Standing]
@@ -53,7 +53,7 @@
 }
 
 // open dials a server and performs the handshake. No ping is sent yet.
-func (c *Client) open(ctx context.Context, address string) (*session, error) {
+func (c *Client) open(ctx context.Context, address string) (*clientSession, error) {
 	dialer := net.Dialer{Timeout: c.dialTimeout()}
 	raw, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -78,19 +78,19 @@
 		conn.Close()
 		return nil, err
 	}
-	c.setAnnouncedServers(welcome.Servers)
-	return &session{client: c, address: address, conn: conn, openedAt: c.config.Now(), subscription: NewSubscription()}, nil
+	c.setDiscoveredServers(welcome.Servers)
+	return &clientSession{client: c, address: address, conn: conn, openedAt: c.config.Now(), subscription: NewSubscription()}, nil
 }
 
 // close ends a session that was not run; s may be nil.
-func (s *session) close() {
+func (s *clientSession) close() {
 	if s != nil {
 		s.conn.Close()
 	}
 }
 
 // run exchanges pings and updates until the subscription ends, and returns the cause.
-func (s *session) run(ctx context.Context) error {
+func (s *clientSession) run(ctx context.Context) error {
 	c := s.client
 	ctx, s.cancel = context.WithCancel(ctx)
 	stop := context.AfterFunc(ctx, func() { s.conn.Close() })
@@ -108,9 +108,9 @@
 }
 
 // openSuccessor subscribes to another server in the background and ends this session once that
-// succeeds, so that the client receives updates while it dials. After each failure find returns
-// the next server, or false to give up.
-func (s *session) openSuccessor(ctx context.Context, candidate Candidate, find func(now time.Duration) (Candidate, bool)) {
+// succeeds, so that the client receives updates while it dials. After each failure nextCandidate
+// returns the next server to try, or false to give up.
+func (s *clientSession) openSuccessor(ctx context.Context, candidate Candidate, nextCandidate func(now time.Duration) (Candidate, bool)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.openingSuccessor {
@@ -118,7 +118,7 @@
 	}
 	s.openingSuccessor = true
 	s.wg.Go(func() {
-		next := s.openFirstReachable(ctx, candidate, find)
+		next := s.openFirstReachable(ctx, candidate, nextCandidate)
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.openingSuccessor = false
@@ -131,9 +131,9 @@
 
 // openFirstReachable returns a session with the first server that completes the handshake, or nil
 // if there is none.
-func (s *session) openFirstReachable(ctx context.Context, candidate Candidate, find func(now time.Duration) (Candidate, bool)) *session {
+func (s *clientSession) openFirstReachable(ctx context.Context, candidate Candidate, nextCandidate func(now time.Duration) (Candidate, bool)) *clientSession {
 	c := s.client
-	for known := true; known && ctx.Err() == nil; candidate, known = find(c.config.Now()) {
+	for found := true; found && ctx.Err() == nil; candidate, found = nextCandidate(c.config.Now()) {
 		next, err := c.open(ctx, candidate.Address)
 		if err == nil {
 			return next
@@ -149,7 +149,7 @@
 
 // ping sends pings until the session ends. The intervals are jittered so that clients that
 // started together do not stay synchronized.
-func (s *session) ping(ctx context.Context) {
+func (s *clientSession) ping(ctx context.Context) {
 	for {
 		if err := s.sendPing(); err != nil {
 			return
@@ -158,8 +158,8 @@
 		if _, confirmed := s.client.ConfirmedAt(); !confirmed {
 			interval = min(interval, firstPingInterval)
 		}
-		spread := time.Duration((0.75 + rand.Float64()/2) * float64(interval))
-		if !s.waitForNextPing(ctx, spread) {
+		jittered := time.Duration((0.75 + rand.Float64()/2) * float64(interval))
+		if !s.waitForNextPing(ctx, jittered) {
 			return
 		}
 	}
@@ -167,7 +167,7 @@
 
 // waitForNextPing waits for the interval, or for minPingGap after an early ping is requested. It
 // returns false if the context ended.
-func (s *session) waitForNextPing(ctx context.Context, interval time.Duration) bool {
+func (s *clientSession) waitForNextPing(ctx context.Context, interval time.Duration) bool {
 	timer := time.NewTimer(interval)
 	defer timer.Stop()
 	select {
@@ -180,7 +180,7 @@
 	}
 }
 
-func (s *session) sendPing() error {
+func (s *clientSession) sendPing() error {
 	s.mu.Lock()
 	ping := s.subscription.Ping(s.client.config.Now(), s.client.target.Position())
 	s.mu.Unlock()
@@ -199,7 +199,7 @@
 	return s.conn.Send(protocol.KindPing, ping)
 }
 
-func (s *session) read(ctx context.Context) error {
+func (s *clientSession) read(ctx context.Context) error {
 	for {
 		kind, err := s.conn.Receive(s.client.config.SilenceTimeout)
 		if err != nil {
@@ -225,7 +225,7 @@
 	}
 }
 
-func (s *session) handleUpdate() error {
+func (s *clientSession) handleUpdate() error {
 	var update distribution.Update
 	if err := s.conn.Decode(&update); err != nil {
 		return err
@@ -233,7 +233,7 @@
 	return s.apply(&update)
 }
 
-func (s *session) handlePackedUpdate() error {
+func (s *clientSession) handlePackedUpdate() error {
 	var packed distribution.PackedUpdate
 	if err := s.conn.Decode(&packed); err != nil {
 		return err
@@ -245,7 +245,7 @@
 	return s.apply(update)
 }
 
-func (s *session) apply(update *distribution.Update) error {
+func (s *clientSession) apply(update *distribution.Update) error {
 	target := s.client.target
 	before := target.Position()
 	if err := target.Apply(update); err != nil {
@@ -259,13 +259,13 @@
 	return nil
 }
 
-func (s *session) handlePong(ctx context.Context) error {
+func (s *clientSession) handlePong(ctx context.Context) error {
 	var pong protocol.Pong
 	if err := s.conn.Decode(&pong); err != nil {
 		return err
 	}
 	c := s.client
-	c.setAnnouncedServers(pong.Servers)
+	c.setDiscoveredServers(pong.Servers)
 	s.mu.Lock()
 	sentAt := s.subscription.SentAt(pong.Sequence)
 	at, confirmed, err := s.subscription.TakePong(pong, c.target)
@@ -273,12 +273,12 @@
 	if err != nil {
 		return fmt.Errorf("from %s: %w", s.conn.Peer(), err)
 	}
-	s.lastPongSentAt = sentAt
+	s.answeredPingSentAt = sentAt
 	if pong.Quotas != nil && c.config.OnQuotas != nil {
 		c.config.OnQuotas(sentAt, *pong.Quotas)
 	}
 	if confirmed {
-		c.confirm(at)
+		c.advanceConfirmedAt(at)
 	}
 	_, everConfirmed := c.ConfirmedAt()
 	standing := Standing{
@@ -291,20 +291,20 @@
 
 // handleQuotas handles shares that the server pushed. Their transit time is unknown, so they are
 // dated by the last answered ping.
-func (s *session) handleQuotas() error {
+func (s *clientSession) handleQuotas() error {
 	var shares quota.Shares
 	if err := s.conn.Decode(&shares); err != nil {
 		return err
 	}
-	if s.client.config.OnQuotas != nil && s.lastPongSentAt > 0 {
-		s.client.config.OnQuotas(s.lastPongSentAt, shares)
+	if s.client.config.OnQuotas != nil && s.answeredPingSentAt > 0 {
+		s.client.config.OnQuotas(s.answeredPingSentAt, shares)
 	}
 	return nil
 }
 
 // considerMove starts a move to another server if this one is stale or behind, or if a server in
 // the client's zone is available.
-func (s *session) considerMove(ctx context.Context, standing Standing) {
+func (s *clientSession) considerMove(ctx context.Context, standing Standing) {
 	c := s.client
 	now := c.config.Now()
 	if c.selector.Heard(now, standing) {
--- a/pkg/stream/hub.go
+++ b/pkg/stream/hub.go
@@ -388,9 +388,9 @@
 }
 
 // handleAck records the position a subscriber holds and publishes a change of versions.
-func (h *Hub) handleAck(s *subscriber, held distribution.Position) {
+func (h *Hub) handleAck(s *subscriber, position distribution.Position) {
 	h.mu.Lock()
-	changed := s.session.SetReported(held)
+	changed := s.session.SetReported(position)
 	h.mu.Unlock()
 	if changed {
 		h.publishReport(s)
--- a/pkg/stream/selector.go
+++ b/pkg/stream/selector.go
@@ -32,8 +32,8 @@
 	MaxBackoff   time.Duration
 	// StaleLimit is the age of a server's state beyond which another server is selected.
 	StaleLimit time.Duration
-	// BadMemory is how long a server that failed or was stale is avoided. It also limits how fast
-	// clients cycle through the servers in a total outage.
+	// BadMemory is how long a server is marked as failed, and avoided, after a failure or while it
+	// is stale. It also limits how fast clients cycle through the servers in a total outage.
 	BadMemory time.Duration
 	// Random returns a number in [0, 1).
 	Random func() float64
@@ -184,6 +184,7 @@
 	s.notBefore = now + s.jitter(pause)
 }
 
+// maxDoublings keeps the shift that doubles a duration from overflowing.
 const maxDoublings = 16
 
 // markFailed makes a candidate avoided for about BadMemory; mu must be held.
--- a/pkg/stream/session.go
+++ b/pkg/stream/session.go
@@ -56,9 +56,9 @@
 }
 
 // SetReported records the subscriber's position; it reports whether the versions changed.
-func (s *Session) SetReported(held distribution.Position) (changed bool) {
-	changed = s.reported.Active != held.Active || s.reported.Staged != held.Staged
-	s.reported = held
+func (s *Session) SetReported(position distribution.Position) (changed bool) {
+	changed = s.reported.Active != position.Active || s.reported.Staged != position.Staged
+	s.reported = position
 	return changed
 }
 
--- a/pkg/stream/leaving_test.go
+++ b/pkg/stream/stale_server_test.go
@@ -131,7 +131,7 @@
 // Guards against a logged reason that names staleness from which the server has recovered.
 func TestMoveReasonReflectsCurrentState(t *testing.T) {
 	is := is.New(t)
-	s := &session{client: &Client{
+	s := &clientSession{client: &Client{
 		config:   ClientConfig{Now: func() time.Duration { return time.Minute }},
 		selector: testSelector("a", "b"),
 	}}
