--- a/pkg/proxy/closing.go
+++ b/pkg/proxy/closing.go
@@ -10,13 +10,14 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// noteClosing logs that orders closed the gate, that it is quiet or that it opened again.
-func (s *Server) noteClosing(c gate.ClosingChange) {
+// onClosingChange logs that an order closed the gate, that its last running call has ended, or that it opened
+// again, and reports the change to the control plane.
+func (s *Server) onClosingChange(c gate.ClosingChange) {
 	s.client.PingSoon()
 	took := c.Took.Round(time.Millisecond)
 	switch {
 	case c.Quiet:
-		s.observer.quiet.Set(c.Took.Seconds())
+		s.observer.closingTime.Set(c.Took.Seconds())
 		s.logger.Log("event", "gate_quiet", "instance", c.Backend, "reason", string(c.Reason), "took", took)
 	case c.Reason != "":
 		s.logger.Log("event", "gate_closed", "instance", c.Backend, "reason", string(c.Reason), "let_go", c.Dropped, "running", c.Running)
@@ -25,8 +26,8 @@
 	}
 }
 
-// closedGate returns what a server is to hear of a gate that orders have closed, nil while it is open.
-func (s *Server) closedGate() *protocol.ClosedGate {
+// closedGateReport returns the report on a gate that an order has closed, or nil while it is open.
+func (s *Server) closedGateReport() *protocol.ClosedGate {
 	if s.gate == nil {
 		return nil
 	}
@@ -37,18 +38,18 @@
 	return &protocol.ClosedGate{Reason: reason, Running: s.gate.Report().Running}
 }
 
-// backendStates are what the back end beside the node may be, for metrics.
+// backendStates are the values of the label "state" of the metric bramblelift_gate_backend.
 var backendStates = []string{stateServing, stateAbsent, string(exchange.ReasonEvacuated)}
 
 const (
 	stateServing = "serving"
-	// stateAbsent: there is none, or it leaves.
+	// stateAbsent: there is no back end, or it is leaving.
 	stateAbsent = "absent"
 )
 
-// watchBackend shows the state of the back end beside the node.
-func (o *observer) watchBackend(registry prometheus.Registerer, g *gate.Gate) {
-	registry.MustRegister(o.quiet)
+// registerBackend registers the metrics of the back end's state.
+func (o *observer) registerBackend(registry prometheus.Registerer, g *gate.Gate) {
+	registry.MustRegister(o.closingTime)
 	for _, state := range backendStates {
 		registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "bramblelift_gate_backend", Help: "1 for the state of the back end beside the node, 0 for all others.",
--- a/pkg/proxy/closing_test.go
+++ b/pkg/proxy/closing_test.go
@@ -12,7 +12,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-func TestMetricsShowTheStateOfTheBackend(t *testing.T) {
+func TestBackendMetricHasExactlyOneState(t *testing.T) {
 	is := is.New(t)
 	g := gate.New(gate.Config{Now: func() time.Duration { return 0 }})
 	is.Equal(backendState(g), stateAbsent)
@@ -22,7 +22,7 @@
 	g.SetRules(eligibility.New(table.With(orders.Change{Evacuate: &orders.Evacuation{Zone: "a"}}, 1), nil))
 	is.Equal(backendState(g), "evacuated")
 	registry := prometheus.NewRegistry()
-	newObserver(registry, nil).watchBackend(registry, g)
+	newObserver(registry, nil).registerBackend(registry, g)
 	families, err := registry.Gather()
 	is.NoErr(err)
 	sum := 0.0
@@ -34,7 +34,7 @@
 			}
 		}
 	}
-	is.Equal(sum, 1.0) // just one state
+	is.Equal(sum, 1.0) // exactly one state is set
 	g.RemoveBackend("i1")
 	is.Equal(backendState(g), stateAbsent)
 }
--- a/pkg/proxy/doc.go
+++ b/pkg/proxy/doc.go
@@ -1,10 +1,11 @@
-// Package proxy is the node as a daemon: it answers callers by the configuration that
-// it holds, and keeps a subscription to a relay for newer ones.
+// Package proxy implements the node: it forwards calls according to its configuration
+// and subscribes to a relay or control replica for updates of it.
 //
 // # Starting
 //
-// A node must never serve an older version than it did before it stopped. With a data
-// folder, what is in force was made durable first, so the node starts from its file at
-// once. Without one it cannot know, so it waits until a state is confirmed that was
-// current after the node's start; until then it refuses calls as not run.
+// A node must never serve an older version than before a restart. With a data folder,
+// each configuration is saved before it is served, so a restarted node serves the saved
+// one at once. Without a data folder the node waits until the control plane confirms
+// that the configuration was current after the node's start; until then it rejects
+// calls as not run.
 package proxy
--- a/pkg/proxy/drain.go
+++ b/pkg/proxy/drain.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	// drainPoll is how often a stop looks for calls under way, and drainQuiet for how long
-	// there must be none: a call whose head is being read does not count yet.
-	drainPoll  = 25 * time.Millisecond
-	drainQuiet = 150 * time.Millisecond
+	// drainPollInterval is the interval at which drain checks for calls in flight, and drainIdleTime is
+	// for how long there must be none: a call is counted only once its headers have been read.
+	drainPollInterval = 25 * time.Millisecond
+	drainIdleTime     = 150 * time.Millisecond
 )
 
-// errCallsLeft: the time for a stop was up with calls under way.
-var errCallsLeft = errors.New("calls are still under way")
+// errCallsInFlight means that the drain timed out before all calls had finished.
+var errCallsInFlight = errors.New("calls are still in flight")
 
-// callsUnderWay counts the calls that handlers are at work on.
-type callsUnderWay struct {
+// inFlightCalls counts the calls that handlers are processing.
+type inFlightCalls struct {
 	n atomic.Int64
 }
 
-// counted returns a handler whose calls are counted.
-func (c *callsUnderWay) counted(next http.Handler) http.Handler {
+// track returns a handler that counts each call while next processes it.
+func (c *inFlightCalls) track(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		c.n.Add(1)
 		defer c.n.Add(-1)
@@ -34,39 +34,39 @@
 	})
 }
 
-// awaitNone returns once no call has been under way for drainQuiet, or the context ends.
-func (c *callsUnderWay) awaitNone(ctx context.Context) error {
-	ticker := time.NewTicker(drainPoll)
+// waitIdle returns nil once no call has been in flight for drainIdleTime, and errCallsInFlight if ctx
+// ends first.
+func (c *inFlightCalls) waitIdle(ctx context.Context) error {
+	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
-	for quiet := time.Duration(0); quiet < drainQuiet; quiet += drainPoll {
+	for idle := time.Duration(0); idle < drainIdleTime; idle += drainPollInterval {
 		if c.n.Load() > 0 {
-			quiet = -drainPoll
+			idle = -drainPollInterval
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%d: %w", c.n.Load(), errCallsLeft)
+			return fmt.Errorf("%d: %w", c.n.Load(), errCallsInFlight)
 		case <-ticker.C:
 		}
 	}
 	return nil
 }
 
-// stoppable is a server that ends with its connections, or at once.
-type stoppable interface {
+// drainableServer is a server that can be shut down gracefully or closed at once, as http.Server.
+type drainableServer interface {
 	Shutdown(ctx context.Context) error
 	Close() error
 }
 
-// drain ends servers once no call is under way. http.Server.Shutdown alone would wait for
-// connections on which nothing was ever sent, as HTTP clients keep them in reserve, until its
-// time is up.
-func (c *callsUnderWay) drain(ctx context.Context, servers ...stoppable) error {
+// drain shuts servers down once no call is in flight. http.Server.Shutdown alone would wait until its
+// timeout for connections without a request, which HTTP clients keep open in advance.
+func (c *inFlightCalls) drain(ctx context.Context, servers ...drainableServer) error {
 	ctx, cancel := context.WithCancel(ctx)
 	var group sync.WaitGroup
 	for _, server := range servers {
 		group.Go(func() { _ = server.Shutdown(ctx) })
 	}
-	err := c.awaitNone(ctx)
+	err := c.waitIdle(ctx)
 	cancel()
 	group.Wait()
 	for _, server := range servers {
--- a/pkg/proxy/drain_test.go
+++ b/pkg/proxy/drain_test.go
@@ -13,64 +13,64 @@
 	"github.com/matryer/is"
 )
 
-// heldServer answers once it is let go.
-func heldServer(t *testing.T, calls *callsUnderWay) (server *httptest.Server, entered chan struct{}, letGo chan struct{}) {
+// newBlockingServer returns a server whose calls respond once release is closed.
+func newBlockingServer(t *testing.T, calls *inFlightCalls) (server *httptest.Server, started chan struct{}, release chan struct{}) {
 	t.Helper()
-	entered, letGo = make(chan struct{}, 1), make(chan struct{})
-	server = httptest.NewServer(calls.counted(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		entered <- struct{}{}
-		<-letGo
+	started, release = make(chan struct{}, 1), make(chan struct{})
+	server = httptest.NewServer(calls.track(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		started <- struct{}{}
+		<-release
 		_, _ = io.WriteString(w, "whole")
 	})))
-	return server, entered, letGo
+	return server, started, release
 }
 
 func TestDrainWaitsForCallsNotForConnections(t *testing.T) {
 	is := is.New(t)
-	var calls callsUnderWay
-	server, entered, letGo := heldServer(t, &calls)
+	var calls inFlightCalls
+	server, started, release := newBlockingServer(t, &calls)
 	unused, err := net.Dial("tcp", server.Listener.Addr().String())
 	is.NoErr(err)
 	defer unused.Close()
-	answer := make(chan string, 1)
+	result := make(chan string, 1)
 	go func() {
 		response, err := http.Get(server.URL)
 		if err != nil {
-			answer <- err.Error()
+			result <- err.Error()
 			return
 		}
 		body, _ := io.ReadAll(response.Body)
-		answer <- string(body)
+		result <- string(body)
 	}()
-	<-entered
+	<-started
 	drained := make(chan error, 1)
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	go func() { drained <- calls.drain(ctx, server.Config) }()
 	select {
 	case <-drained:
-		t.Fatal("a call was under way")
-	case <-time.After(3 * drainQuiet):
+		t.Fatal("drain returned with a call in flight")
+	case <-time.After(3 * drainIdleTime):
 	}
-	began := time.Now()
-	close(letGo)
+	start := time.Now()
+	close(release)
 	is.NoErr(<-drained)
-	is.True(time.Since(began) < time.Second)
-	is.Equal(<-answer, "whole")
+	is.True(time.Since(start) < time.Second)
+	is.Equal(<-result, "whole")
 }
 
-func TestDrainEndsWithItsTime(t *testing.T) {
+func TestDrainFailsAtDeadlineWithCallsInFlight(t *testing.T) {
 	is := is.New(t)
-	var calls callsUnderWay
-	server, entered, letGo := heldServer(t, &calls)
-	defer close(letGo)
+	var calls inFlightCalls
+	server, started, release := newBlockingServer(t, &calls)
+	defer close(release)
 	go func() {
 		if response, err := http.Get(server.URL); err == nil {
 			response.Body.Close()
 		}
 	}()
-	<-entered
+	<-started
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
-	is.True(errors.Is(calls.drain(ctx, server.Config), errCallsLeft))
+	is.True(errors.Is(calls.drain(ctx, server.Config), errCallsInFlight))
 }
--- a/pkg/proxy/gate.go
+++ b/pkg/proxy/gate.go
@@ -18,7 +18,7 @@
 	"bramblelift/pkg/wire"
 )
 
-// openGate prepares the way to the back end beside the node, if there is one.
+// openGate sets up the gate in front of the back end beside the node, if the settings name one.
 func (s *Server) openGate() error {
 	if s.settings.GateListen == "" {
 		return nil
@@ -26,18 +26,18 @@
 	s.gate = gate.New(gate.Config{
 		Headers: s.settings.Headers, Now: s.clock.Elapsed, OnCall: s.observer.gateCall,
 		ServedHere: func(r *http.Request) bool { return s.handler.ServedIn(s.settings.Zone, r) },
-		Link:       s.link, Answers: s.answers, AnswerBuffer: s.answerBuffer,
-		Quarantine: &s.quarantine, OnEnded: s.noteEnded, OnAnswered: s.noteAnswered,
-		OnClosing: s.noteClosing,
+		Link:       s.link, Answers: s.responsePacer, AnswerBuffer: s.responseBuffer,
+		Quarantine: &s.quarantine, OnEnded: s.onCrash, OnAnswered: s.onWatchedResponse,
+		OnClosing: s.onClosingChange,
 		OnSender:  func(service string, sender exchange.Sender) { s.handler.HearOf(service, sender) },
-		OnCold:    s.observer.coldChanged, OnColdUnknown: s.observer.coldUnknown,
+		OnCold:    s.observer.logColdChange, OnColdUnknown: s.observer.logColdUnknown,
 		ConfirmedAt: func() (time.Duration, bool) { return s.client.ConfirmedAt() },
 	})
-	s.observer.watchGate(s.admin.Registry, s.gate)
-	s.observer.watchBackend(s.admin.Registry, s.gate)
+	s.observer.registerGate(s.admin.Registry, s.gate)
+	s.observer.registerBackend(s.admin.Registry, s.gate)
 	s.registry = registration.New(registration.Config{
 		Gate: s.gate, GateAddress: s.settings.GateAdvertise, Service: s.settings.Service,
-		Changed: func() { s.client.PingSoon() }, OnChange: s.noteBackend,
+		Changed: func() { s.client.PingSoon() }, OnChange: s.logBackend,
 	})
 	var err error
 	if s.gateListener, err = wire.Listen(s.settings.GateListen); err != nil {
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// backendHost is the address of the back end beside the node, the zero address if it is not known.
+// backendHost returns the IP address of the back end beside the node, or the zero Addr if it is unknown.
 func (s *Server) backendHost() netip.Addr {
 	address, err := netip.ParseAddrPort(s.settings.BackendAddress)
 	if err != nil {
@@ -56,7 +56,7 @@
 	return address.Addr().Unmap()
 }
 
-// openInterface opens the deployment's interface, if there is one.
+// openInterface opens the listener for the deployment's platform, if the settings name one.
 func (s *Server) openInterface(newInterface func(*Server) http.Handler) error {
 	if s.settings.InterfaceListen == "" || newInterface == nil {
 		return nil
@@ -69,8 +69,7 @@
 	return nil
 }
 
-// Heartbeat takes in a heartbeat of the back end beside the node. One that does not tell its zone is in
-// the node's.
+// Heartbeat processes a heartbeat of the back end beside the node. Its zone defaults to the node's.
 func (s *Server) Heartbeat(h registration.Heartbeat) {
 	if h.Zone == "" {
 		h.Zone = s.settings.Zone
@@ -80,86 +79,86 @@
 	}
 }
 
-// HeartbeatRefused takes in that a heartbeat named no back end to use, as one of another writer.
+// HeartbeatRefused counts and logs a rejected heartbeat, for instance of a service unknown here.
 func (s *Server) HeartbeatRefused(id string, err error) {
-	s.observer.heartbeatsRefused.Inc()
+	s.observer.heartbeatsRejected.Inc()
 	s.logger.Log("event", "heartbeat_refused", "instance", id, "error", err)
 }
 
-// KnowsService reports whether a service may have a back end beside the node: the one that the settings name, or
-// any in the configuration. Before that is here, any will do.
+// KnowsService reports whether a service may have a back end beside the node: it is named in the settings or the
+// configuration. Without a configuration every service is accepted.
 func (s *Server) KnowsService(name string) bool {
 	return name == s.settings.Service || s.handler == nil || s.handler.KnowsService(name)
 }
 
-// BackendLeft takes in that a back end has left.
+// BackendLeft removes a back end that deregistered itself.
 func (s *Server) BackendLeft(id string) {
 	if s.registry != nil {
 		s.registry.Leave(id, time.Now())
 	}
 }
 
-func (s *Server) noteBackend(h registration.Heartbeat) {
+func (s *Server) logBackend(h registration.Heartbeat) {
 	states := map[registration.State]string{
 		registration.Ready: "ready", registration.Draining: "draining", registration.Gone: "gone",
 	}
 	s.logger.Log("event", "backend", "instance", h.ID, "state", states[h.State], "sequence", h.Sequence, "capacity", h.Capacity)
 }
 
-// announce returns what the control plane is to hear with the next ping.
+// announce returns what the node reports to the control plane with the next ping.
 func (s *Server) announce() protocol.Announce {
-	announced := protocol.Announce{Closed: s.closedGate()}
+	announcement := protocol.Announce{Closed: s.closedGateReport()}
 	if s.registry != nil {
-		announced.Endpoints = s.registry.Announcements()
+		announcement.Endpoints = s.registry.Announcements()
 	}
 	if evidence := s.suspects.Take(s.clock.Elapsed()); !evidence.Empty() {
-		announced.Evidence = &evidence
+		announcement.Evidence = &evidence
 	}
-	announced.Rollouts = s.rolloutReports()
-	announced.Quotas = s.quotaReport()
-	return announced
+	announcement.Rollouts = s.rolloutReports()
+	announcement.Quotas = s.quotaReport()
+	return announcement
 }
 
-// serveGate answers other nodes and the deployment's interface.
-func (s *Server) serveGate(group *sync.WaitGroup) {
+// serveListeners starts serving other nodes and the deployment's platform.
+func (s *Server) serveListeners(group *sync.WaitGroup) {
 	if s.gateServer != nil {
-		group.Go(func() { s.noteServed("gate", s.gateServer.Serve(s.link.Listener(link.Nodes, s.gateListener))) })
+		group.Go(func() { s.logServeError("gate", s.gateServer.Serve(s.link.Listener(link.Nodes, s.gateListener))) })
 	}
 	if s.interfaceListener != nil {
-		group.Go(func() { s.noteServed("interface", http.Serve(s.interfaceListener, s.interfaceHandler)) })
+		group.Go(func() { s.logServeError("interface", http.Serve(s.interfaceListener, s.interfaceHandler)) })
 	}
 }
 
-func (s *Server) noteServed(what string, err error) {
+func (s *Server) logServeError(listener string, err error) {
 	if !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
-		s.logger.Log("event", "listener_ended", "listener", what, "error", err)
+		s.logger.Log("event", "listener_ended", "listener", listener, "error", err)
 	}
 }
 
-// stopGate lets other nodes go elsewhere.
+// stopGate makes the gate reject calls of other nodes, so that they choose another back end.
 func (s *Server) stopGate() {
 	if s.gate != nil {
 		s.gate.Stop()
 	}
 }
 
-// servers are those whose calls a planned stop waits for.
-func (s *Server) servers() []stoppable {
+// drainableServers returns the servers whose calls a graceful stop waits for.
+func (s *Server) drainableServers() []drainableServer {
 	if s.gateServer == nil {
-		return []stoppable{s.callers}
+		return []drainableServer{s.callerServer}
 	}
-	return []stoppable{s.callers, s.gateServer}
+	return []drainableServer{s.callerServer, s.gateServer}
 }
 
-// closeInterface closes the deployment's interface. It goes last: the back end may still have
-// something to say.
+// closeInterface closes the listener for the platform. It is closed last, so that the back end can
+// send heartbeats during the drain.
 func (s *Server) closeInterface() {
 	if s.interfaceListener != nil {
 		s.interfaceListener.Close()
 	}
 }
 
-// setColdBounds tells the gate what the service beside the node bears.
+// setColdBounds passes the service's limits after a cold start to the gate.
 func (s *Server) setColdBounds(table *routing.Table) {
 	if s.gate == nil {
 		return
--- a/pkg/proxy/keeper.go
+++ b/pkg/proxy/keeper.go
@@ -15,47 +15,48 @@
 
 const stateFile = "configuration.json"
 
-// savedState is a state as it is on the disk.
+// savedState is the content of the state file.
 type savedState struct {
 	distribution.State
-	// Level is that of the program that saved it. An earlier one left out what it did not know, though the
-	// state's revision includes it: control must tell such a node all from the beginning.
+	// Level is the feature level of the release that saved the state. An earlier release omits data that
+	// it does not know, though the revision covers it; such a node needs the full state again.
 	Level catalog.Level `json:"level"`
 }
 
-// KeeperConfig sets up a Keeper.
+// KeeperConfig configures a Keeper.
 type KeeperConfig struct {
-	// Files is where the configuration is made durable; nil for nowhere.
+	// Files is where the configuration is saved; with nil it is only held in memory.
 	Files storage.FileSystem
 	Group string
-	// Verifier checks approvals.
+	// Verifier checks the approval of each version.
 	Verifier distribution.ApprovalVerifier
-	// InForce takes each state that calls are to be answered by.
+	// InForce is called with each state that the node must serve calls with.
 	InForce func(*distribution.State)
-	// OnFailure is called when durability is lost; the process must end, or it
-	// could start again on an older version than it has served.
+	// OnFailure is called when a state cannot be saved. The process must exit then: after a
+	// restart it could serve an older version than it has served.
 	OnFailure func(error)
 }
 
-// Keeper holds the configuration: it makes each new one durable, then puts it in force
-// through InForce. It implements stream.Target.
+// Keeper holds the node's configuration. It saves each new state before it activates it
+// through InForce. It implements stream.Target and is safe for concurrent use.
 type Keeper struct {
 	config KeeperConfig
 
 	mu     sync.Mutex
 	holder *distribution.Holder
-	// open is set once the held state may be served.
-	open bool
+	// servable is set once the held state may be served: it was loaded from disk or confirmed.
+	servable bool
 }
 
-// NewKeeper reads the last configuration, if there is a folder and one is in it.
+// NewKeeper returns a keeper with the configuration saved in config.Files, if there is one. It
+// fails if the saved state cannot be read.
 func NewKeeper(config KeeperConfig) (*Keeper, error) {
 	k := &Keeper{config: config}
 	state, err := k.load()
 	if err != nil {
 		return nil, err
 	}
-	k.open = state != nil && state.Active != nil
+	k.servable = state != nil && state.Active != nil
 	k.holder = distribution.NewHolder(config.Group, config.Verifier, state)
 	return k, nil
 }
@@ -81,64 +82,64 @@
 	return &saved.State, nil
 }
 
-// Start puts a configuration from disk in force.
+// Start activates a configuration that was loaded from disk.
 func (k *Keeper) Start() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.publish()
+	k.activate()
 }
 
-// Position implements stream.Target.
+// Position returns the revision and versions held, and implements stream.Target.
 func (k *Keeper) Position() distribution.Position {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.holder.State().Position()
 }
 
-// Apply implements stream.Target.
+// Apply verifies, saves and activates an update, and implements stream.Target.
 func (k *Keeper) Apply(update *distribution.Update) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	before := k.holder.State()
+	previous := k.holder.State()
 	if err := k.holder.Apply(update); err != nil {
 		return err
 	}
-	if k.holder.State() == before {
+	if k.holder.State() == previous {
 		return nil
 	}
 	if err := k.save(); err != nil {
 		k.config.OnFailure(err)
 		return err
 	}
-	k.publish()
+	k.activate()
 	return nil
 }
 
-// Current implements stream.Target. A higher revision alone changes nothing that is
-// in force and need not be durable: a lower one is only a longer resume.
+// Current advances the held revision and implements stream.Target. It saves nothing: resuming
+// from a lower revision after a restart only makes the next update larger.
 func (k *Keeper) Current(revision uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.holder.Current(revision)
 }
 
-// Confirmed takes in that the state was current at a moment on the process's clock,
-// which starts with the process: whatever an earlier life held is included.
+// Confirmed makes the state servable after a server has confirmed it as current since the
+// process started: it is no older than what an earlier process run served.
 func (k *Keeper) Confirmed(time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.open {
+	if k.servable {
 		return
 	}
-	k.open = true
-	k.publish()
+	k.servable = true
+	k.activate()
 }
 
 // Serving reports whether a configuration is in force.
 func (k *Keeper) Serving() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.open && k.holder.State().Active != nil
+	return k.servable && k.holder.State().Active != nil
 }
 
 func (k *Keeper) save() error {
@@ -155,10 +156,10 @@
 	return nil
 }
 
-// publish puts the held state in force if it may be served; the mutex is held.
-func (k *Keeper) publish() {
+// activate passes the held state to InForce if it may be served. The caller holds k.mu.
+func (k *Keeper) activate() {
 	state := k.holder.State()
-	if !k.open || state.Active == nil {
+	if !k.servable || state.Active == nil {
 		return
 	}
 	k.config.InForce(state)
--- a/pkg/proxy/keeper_test.go
+++ b/pkg/proxy/keeper_test.go
@@ -16,12 +16,12 @@
 	"github.com/matryer/is"
 )
 
-type anyApproval struct{}
+type acceptAllVerifier struct{}
 
-func (anyApproval) Verify(bundle.Manifest, bundle.Approval) error { return nil }
+func (acceptAllVerifier) Verify(bundle.Manifest, bundle.Approval) error { return nil }
 
-// updateTo returns the update that brings a node from nothing to a version.
-func updateTo(t *testing.T, version uint64) *distribution.Update {
+// fullUpdate returns an update from an empty state to a version.
+func fullUpdate(t *testing.T, version uint64) *distribution.Update {
 	t.Helper()
 	state := &distribution.State{}
 	for number := uint64(1); number <= version; number++ {
@@ -32,13 +32,13 @@
 	return update
 }
 
-// newKeeper returns a keeper and the versions that it has put in force.
-func newKeeper(t *testing.T, files storage.FileSystem) (*Keeper, *[]uint64, *error) {
+// startKeeper returns a started keeper, the versions that it has activated and its save error.
+func startKeeper(t *testing.T, files storage.FileSystem) (*Keeper, *[]uint64, *error) {
 	t.Helper()
 	var inForce []uint64
 	var failure error
 	k, err := NewKeeper(KeeperConfig{
-		Files: files, Group: "shop", Verifier: anyApproval{},
+		Files: files, Group: "shop", Verifier: acceptAllVerifier{},
 		InForce:   func(state *distribution.State) { inForce = append(inForce, state.Active.Manifest.Version) },
 		OnFailure: func(err error) { failure = err },
 	})
@@ -47,12 +47,12 @@
 	return k, &inForce, &failure
 }
 
-// A node without a disk does not know what it held: until somebody confirms that what it
-// got is current, it may be older.
-func TestNodeWithoutDiskWaitsForAConfirmation(t *testing.T) {
+// A node without a disk must not serve a version that may be older than one that it served
+// before a restart.
+func TestNodeWithoutDiskServesOnlyConfirmedConfiguration(t *testing.T) {
 	is := is.New(t)
-	k, inForce, _ := newKeeper(t, nil)
-	is.NoErr(k.Apply(updateTo(t, 3)))
+	k, inForce, _ := startKeeper(t, nil)
+	is.NoErr(k.Apply(fullUpdate(t, 3)))
 	is.Equal(len(*inForce), 0)
 	is.True(!k.Serving())
 	k.Confirmed(time.Second)
@@ -60,71 +60,71 @@
 	is.True(k.Serving())
 }
 
-func TestNodeWithDiskStartsOnWhatItHeld(t *testing.T) {
+func TestNodeWithDiskServesSavedConfigurationAtStart(t *testing.T) {
 	is := is.New(t)
 	folder := filepath.Join(t.TempDir(), "data")
 	files, err := storage.OpenFolder(folder)
 	is.NoErr(err)
-	k, inForce, _ := newKeeper(t, files)
-	is.NoErr(k.Apply(updateTo(t, 3)))
+	k, inForce, _ := startKeeper(t, files)
+	is.NoErr(k.Apply(fullUpdate(t, 3)))
 	k.Confirmed(time.Second)
 	is.Equal(*inForce, []uint64{3})
 
-	again, inForce, _ := newKeeper(t, files)
-	is.Equal(*inForce, []uint64{3}) // at once, with nobody reachable
-	older := updateTo(t, 2)
-	older.To = 99 // a relay that lost count
-	is.True(errors.Is(again.Apply(older), distribution.ErrOlder))
+	restarted, inForce, _ := startKeeper(t, files)
+	is.Equal(*inForce, []uint64{3}) // without a connection to any server
+	older := fullUpdate(t, 2)
+	older.To = 99 // a relay with a wrong revision
+	is.True(errors.Is(restarted.Apply(older), distribution.ErrOlder))
 	is.Equal(*inForce, []uint64{3})
 
 	is.NoErr(os.WriteFile(filepath.Join(folder, stateFile), []byte("{half"), 0o600))
-	_, err = NewKeeper(KeeperConfig{Files: files, Group: "shop", Verifier: anyApproval{}})
-	is.True(err != nil) // damage is told, not taken for a first start
+	_, err = NewKeeper(KeeperConfig{Files: files, Group: "shop", Verifier: acceptAllVerifier{}})
+	is.True(err != nil) // a damaged file is an error, not a first start
 }
 
-// brokenFiles fails every sync of the folder.
-type brokenFiles struct{ *storage.Folder }
+// failingSyncFolder fails every sync of the folder.
+type failingSyncFolder struct{ *storage.Folder }
 
-var errBroken = errors.New("sync failed")
+var errSync = errors.New("sync failed")
 
-func (brokenFiles) SyncFolder() error { return errBroken }
+func (failingSyncFolder) SyncFolder() error { return errSync }
 
-func TestWhatIsNotDurableIsNotServed(t *testing.T) {
+func TestUnsavedConfigurationIsNotServed(t *testing.T) {
 	is := is.New(t)
 	folder, err := storage.OpenFolder(filepath.Join(t.TempDir(), "data"))
 	is.NoErr(err)
-	k, inForce, failure := newKeeper(t, brokenFiles{folder})
+	k, inForce, failure := startKeeper(t, failingSyncFolder{folder})
 	k.Confirmed(time.Second)
-	is.True(errors.Is(k.Apply(updateTo(t, 1)), errBroken))
+	is.True(errors.Is(k.Apply(fullUpdate(t, 1)), errSync))
 	is.Equal(len(*inForce), 0)
-	is.True(errors.Is(*failure, errBroken)) // the process must end
+	is.True(errors.Is(*failure, errSync)) // the process must exit
 }
 
-// What an earlier release saved lacks what that one did not know, though it counted its revision: after the
-// upgrade all of it is told again.
-func TestStateOfAnEarlierReleaseIsToldAgain(t *testing.T) {
+// A state saved by an earlier release lacks data that its revision covers; after the upgrade the node
+// must receive the full state.
+func TestStateSavedByEarlierReleaseIsSentAgainInFull(t *testing.T) {
 	is := is.New(t)
 	folder := filepath.Join(t.TempDir(), "data")
 	files, err := storage.OpenFolder(folder)
 	is.NoErr(err)
-	held := (&distribution.State{}).Activate(signedVersion(t, 1))
-	control := held.ChangeOrders(orders.Change{Evacuate: &orders.Evacuation{Zone: "a"}})
-	held.Revision = control.Revision
-	saved, err := json.Marshal(held)
+	nodeState := (&distribution.State{}).Activate(signedVersion(t, 1))
+	controlState := nodeState.ChangeOrders(orders.Change{Evacuate: &orders.Evacuation{Zone: "a"}})
+	nodeState.Revision = controlState.Revision
+	saved, err := json.Marshal(nodeState)
 	is.NoErr(err)
 	is.NoErr(os.WriteFile(filepath.Join(folder, stateFile), saved, 0o600))
 
-	k, inForce, _ := newKeeper(t, files)
-	is.Equal(*inForce, []uint64{1}) // at once, with nobody reachable
-	update, err := distribution.NewPlanner(control).Plan("shop", k.Position())
+	k, inForce, _ := startKeeper(t, files)
+	is.Equal(*inForce, []uint64{1}) // without a connection to any server
+	update, err := distribution.NewPlanner(controlState).Plan("shop", k.Position())
 	is.NoErr(err)
 	is.True(update != nil)
 	is.NoErr(k.Apply(update))
 	is.True(k.holder.State().Orders.Evacuated("a"))
 
-	again, _, _ := newKeeper(t, files) // saved by this release
-	is.Equal(again.Position(), control.Position())
-	is.True(again.holder.State().Orders.Evacuated("a"))
+	restarted, _, _ := startKeeper(t, files) // saved by this release
+	is.Equal(restarted.Position(), controlState.Position())
+	is.True(restarted.holder.State().Orders.Evacuated("a"))
 }
 
 func signedVersion(t *testing.T, number uint64) *bundle.Signed {
--- a/pkg/proxy/observer.go
+++ b/pkg/proxy/observer.go
@@ -14,23 +14,22 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// observer counts what happens to calls, and logs each decision that kept one from being
-// answered at the first attempt.
+// observer counts calls and attempts, and logs those that were rejected or failed.
 type observer struct {
-	logger    log.Logger
-	calls     *prometheus.CounterVec
-	durations *prometheus.HistogramVec
-	attempts  *prometheus.CounterVec
-	admitted  *prometheus.CounterVec
-	waits     prometheus.Histogram
-	service   prometheus.Histogram
-	farDelay  *prometheus.GaugeVec
-	quiet     prometheus.Gauge
-	// heartbeatsRefused counts words of back ends that could not be used.
-	heartbeatsRefused prometheus.Counter
+	logger          log.Logger
+	calls           *prometheus.CounterVec
+	durations       *prometheus.HistogramVec
+	attempts        *prometheus.CounterVec
+	gateCalls       *prometheus.CounterVec
+	gateWaits       prometheus.Histogram
+	serviceTimes    prometheus.Histogram
+	regionDelayRise *prometheus.GaugeVec
+	closingTime     prometheus.Gauge
+	// heartbeatsRejected counts heartbeats that named no usable back end.
+	heartbeatsRejected prometheus.Counter
 }
 
-// durationBuckets reach from half a millisecond to eight seconds.
+// durationBuckets, in seconds, range from half a millisecond to eight seconds.
 var durationBuckets = prometheus.ExponentialBuckets(0.0005, 2, 15)
 
 func newObserver(registry prometheus.Registerer, logger log.Logger) *observer {
@@ -46,31 +45,31 @@
 		attempts: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "bramblelift_attempts_total", Help: "Attempts by how they ended; above calls by the retries.",
 		}, []string{"end"}),
-		admitted: prometheus.NewCounterVec(prometheus.CounterOpts{
+		gateCalls: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "bramblelift_gate_calls_total", Help: "Calls at the gate by how they ended.",
 		}, []string{"end"}),
-		waits: prometheus.NewHistogram(prometheus.HistogramOpts{
+		gateWaits: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name: "bramblelift_gate_wait_seconds", Help: "Time that calls waited at the gate.", Buckets: durationBuckets,
 		}),
-		service: prometheus.NewHistogram(prometheus.HistogramOpts{
+		serviceTimes: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name: "bramblelift_gate_service_seconds", Help: "Time that calls took at the back end.", Buckets: durationBuckets,
 		}),
-		farDelay: prometheus.NewGaugeVec(prometheus.GaugeOpts{
+		regionDelayRise: prometheus.NewGaugeVec(prometheus.GaugeOpts{
 			Name: "bramblelift_region_delay_rise_seconds", Help: "By how much the delay to another region is above the least, when its crowding last changed.",
 		}, []string{"region"}),
-		quiet: prometheus.NewGauge(prometheus.GaugeOpts{
+		closingTime: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "bramblelift_gate_quiet_seconds", Help: "How long the calls at work took to end when orders closed the gate last.",
 		}),
 	}
-	o.heartbeatsRefused = prometheus.NewCounter(prometheus.CounterOpts{
+	o.heartbeatsRejected = prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "bramblelift_heartbeats_refused_total", Help: "Heartbeats that named no back end to use.",
 	})
-	registry.MustRegister(o.heartbeatsRefused, o.calls, o.durations, o.attempts, o.admitted, o.waits, o.service, o.farDelay)
+	registry.MustRegister(o.heartbeatsRejected, o.calls, o.durations, o.attempts, o.gateCalls, o.gateWaits, o.serviceTimes, o.regionDelayRise)
 	return o
 }
 
-// watchGate shows the gate's load and the health of its back end.
-func (o *observer) watchGate(registry prometheus.Registerer, g *gate.Gate) {
+// registerGate registers the metrics of the gate's load and its back end's health.
+func (o *observer) registerGate(registry prometheus.Registerer, g *gate.Gate) {
 	gauge := func(name, help string, read func(exchange.Report) float64) {
 		registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help},
 			func() float64 { return read(g.Report()) }))
@@ -86,8 +85,8 @@
 		func(r exchange.Report) float64 { return r.Cold.Remaining.Seconds() })
 }
 
-// coldChanged takes in that the back end beside the node turned cold or warm.
-func (o *observer) coldChanged(change gate.ColdChange) {
+// logColdChange logs that the back end beside the node turned cold or warm.
+func (o *observer) logColdChange(change gate.ColdChange) {
 	state := "warm"
 	if change.Cold {
 		state = "cold"
@@ -96,13 +95,13 @@
 		"source", string(change.Source), "remaining", change.Remaining.Round(time.Millisecond))
 }
 
-// coldUnknown takes in that the back end could not be asked whether it is cold.
-func (o *observer) coldUnknown(backend string, err error) {
+// logColdUnknown logs that the query whether the back end is cold failed.
+func (o *observer) logColdUnknown(backend string, err error) {
 	o.logger.Log("event", "cold_unknown", "instance", backend, "error", err)
 }
 
-// watchQuarantine shows how many requests are kept from back ends, and what evidence did not fit.
-func (o *observer) watchQuarantine(registry prometheus.Registerer, filter *quarantine.Filter, outbox *quarantine.Outbox) {
+// registerQuarantine registers the number of watched and quarantined requests, and of lost evidence.
+func (o *observer) registerQuarantine(registry prometheus.Registerer, filter *quarantine.Filter, outbox *quarantine.Outbox) {
 	for _, standing := range []quarantine.Standing{quarantine.Watched, quarantine.Quarantined} {
 		registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "bramblelift_suspects", Help: "Requests under which back ends ended, by whether they are watched or kept from back ends.",
@@ -114,8 +113,8 @@
 	}, func() float64 { return float64(outbox.Lost()) }))
 }
 
-// watchLink shows the bytes that cross the machine's link.
-func (o *observer) watchLink(registry prometheus.Registerer, m *link.Meter) {
+// registerLink registers the bytes transferred over the machine's link.
+func (o *observer) registerLink(registry prometheus.Registerer, m *link.Meter) {
 	for _, peer := range []link.Peer{link.Callers, link.Nodes, link.Control} {
 		for direction, read := range map[string]func(link.Peer) int64{"received": m.Received, "sent": m.Sent} {
 			registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
@@ -126,14 +125,15 @@
 	}
 }
 
-// watchQuotas shows what tenants' limits let in and refuse here. Tenants are not told apart: there may be thousands.
-func (o *observer) watchQuotas(registry prometheus.Registerer, limiter *quota.Limiter) {
-	for end, read := range map[string]func(quota.Totals) uint64{
+// registerQuotas registers how many calls tenants' limits admit and reject on this node. The metrics have no label
+// for the tenant, since there may be thousands.
+func (o *observer) registerQuotas(registry prometheus.Registerer, limiter *quota.Limiter) {
+	for outcome, read := range map[string]func(quota.Totals) uint64{
 		"admitted": func(t quota.Totals) uint64 { return t.Admitted }, "refused": func(t quota.Totals) uint64 { return t.Refused },
 	} {
 		registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 			Name: "bramblelift_tenant_calls_total", Help: "Calls of tenants that have a limit, by whether it let them in.",
-			ConstLabels: prometheus.Labels{"end": end},
+			ConstLabels: prometheus.Labels{"end": outcome},
 		}, func() float64 { return float64(read(limiter.Totals())) }))
 	}
 	registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
@@ -141,8 +141,8 @@
 	}, func() float64 { return float64(limiter.Totals().Limited) }))
 }
 
-// watchLargeAnswers shows what large bodies and answers take of the machine's link and of memory.
-func (o *observer) watchLargeAnswers(registry prometheus.Registerer, m *link.Meter, buffer *exchange.AnswerBuffer) {
+// registerLargeResponses registers how much of the machine's link and of memory large bodies and responses use.
+func (o *observer) registerLargeResponses(registry prometheus.Registerer, m *link.Meter, buffer *exchange.AnswerBuffer) {
 	for direction, read := range map[string]func() int64{"received": m.BodiesReceived, "sent": m.AnswersSent} {
 		registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 			Name: "bramblelift_link_large_bytes_total", Help: "Bytes of large request bodies received and of large answers sent.",
@@ -154,18 +154,18 @@
 	}, func() float64 { return float64(buffer.Held()) }))
 }
 
-// endAnswered names calls that a back end answered.
-const endAnswered = "answered"
+// outcomeAnswered is the label of calls that a back end responded to.
+const outcomeAnswered = "answered"
 
-// call takes in the end of a call.
+// call counts a finished call, and logs it if it was rejected.
 func (o *observer) call(call forward.Call) {
-	end := endAnswered
+	outcome := outcomeAnswered
 	if call.Refused {
-		end = string(call.Outcome)
+		outcome = string(call.Outcome)
 	}
-	o.calls.WithLabelValues(call.Route, end).Inc()
-	o.durations.WithLabelValues(end).Observe(call.Duration.Seconds())
-	o.attempts.WithLabelValues(endAnswered).Add(float64(call.Attempts))
+	o.calls.WithLabelValues(call.Route, outcome).Inc()
+	o.durations.WithLabelValues(outcome).Observe(call.Duration.Seconds())
+	o.attempts.WithLabelValues(outcomeAnswered).Add(float64(call.Attempts))
 	if !call.Refused {
 		return
 	}
@@ -174,7 +174,8 @@
 		"reason", call.Reason, "attempts", call.Attempts, "took", call.Duration.Round(time.Microsecond))
 }
 
-// attempt takes in an attempt that brought no answer.
+// attempt counts and logs an attempt that brought no response. Retried attempts at a busy gate or one of another
+// version are expected and not logged.
 func (o *observer) attempt(a forward.Attempt) {
 	o.attempts.WithLabelValues(string(a.Reason)).Inc()
 	if a.Retried && (a.Reason.Busy() || a.Reason == exchange.ReasonVersion) {
@@ -186,22 +187,22 @@
 		"link_wait", a.Report.LinkWait, "wait", a.Wait.Round(time.Microsecond), "took", a.Elapsed.Round(time.Microsecond), "left", a.Left.Round(time.Millisecond), "again", a.Retried)
 }
 
-// crowding takes in that the way to another region got crowded or clear.
+// crowding records that the link to another region became congested or clear.
 func (o *observer) crowding(region string, crowding link.Crowding, rise time.Duration) {
-	o.farDelay.WithLabelValues(region).Set(rise.Seconds())
+	o.regionDelayRise.WithLabelValues(region).Set(rise.Seconds())
 	o.logger.Log("event", "region_crowding", "region", region, "crowding", crowding, "delay_rise", rise.Round(time.Millisecond))
 }
 
-// gateCall takes in a call at the gate.
+// gateCall counts a call at the gate, and logs one that failed there.
 func (o *observer) gateCall(call gate.Call) {
-	end := endAnswered
+	outcome := outcomeAnswered
 	if call.Reason != "" {
-		end = string(call.Reason)
+		outcome = string(call.Reason)
 	}
-	o.admitted.WithLabelValues(end).Inc()
-	o.waits.Observe(call.Waited.Seconds())
+	o.gateCalls.WithLabelValues(outcome).Inc()
+	o.gateWaits.Observe(call.Waited.Seconds())
 	if call.Reason == "" {
-		o.service.Observe(call.Service.Seconds())
+		o.serviceTimes.Observe(call.Service.Seconds())
 		return
 	}
 	if call.Reason.Busy() || call.Reason == exchange.ReasonVersion {
--- a/pkg/proxy/proxy.go
+++ b/pkg/proxy/proxy.go
@@ -35,59 +35,59 @@
 	"github.com/go-kit/log"
 )
 
-// Bounds of the daemon.
+// Limits and timeouts of a node.
 const (
-	// dialTimeout is short: a machine that is not up yet, or not any more, says nothing, and
-	// there are others.
+	// dialTimeout is short, since a machine that is down does not respond and another server can be
+	// tried.
 	dialTimeout    = 400 * time.Millisecond
 	headerTimeout  = 10 * time.Second
 	idleTimeout    = 2 * time.Minute
 	maxHeaderBytes = 64 << 10
-	// writeTimeout is for each write to a caller.
+	// writeTimeout bounds each single write to a caller.
 	writeTimeout = 30 * time.Second
-	// maxPipelined bounds the calls of one connection that are under way at once.
+	// maxPipelined bounds the calls of one connection that are in flight at once.
 	maxPipelined = 16
-	// gatedRetryMax is how many repeats a node may save up for one service; all nodes'
-	// together must stay small against what the deployment allows.
-	gatedRetryMax = 3
-	megabit       = 1e6
-	// maxHeldAnswers is how many bytes of large answers a node holds for callers that read slowly; an
-	// answer beyond it is passed on as it comes, and its back end's slot is busy meanwhile.
-	maxHeldAnswers = 24 << 20
-	// quietTime is for how long no call must have come before a stopping node closes.
-	quietTime = time.Second
-	quietPoll = 100 * time.Millisecond
-	// shownTenants is how many tenants the status page names: there may be thousands.
-	shownTenants = 20
-	// stopReserveShare of the time for a stop is kept for the calls under way, and
-	// stopMargin for what comes after the last answer.
-	stopReserveShare = 5
-	stopMargin       = 100 * time.Millisecond
+	// maxSavedRetries is how many retries a node may accumulate for one service. It is small, since
+	// the accumulated retries of all nodes add up.
+	maxSavedRetries = 3
+	megabit         = 1e6
+	// maxBufferedResponseBytes bounds the large responses buffered for callers that read slowly. Beyond
+	// it a response is streamed, which occupies its back end until the caller has read it.
+	maxBufferedResponseBytes = 24 << 20
+	// idleBeforeStop is for how long no call must have arrived before a stopping node closes.
+	idleBeforeStop = time.Second
+	minIdlePoll    = 100 * time.Millisecond
+	// maxStatusTenants bounds the tenants listed in /status, since there may be thousands.
+	maxStatusTenants = 20
+	// StopTimeout / drainReserveDivisor is reserved for draining calls, and stopMargin for the work
+	// after the last response.
+	drainReserveDivisor = 5
+	stopMargin          = 100 * time.Millisecond
 )
 
-// Server is one node.
+// Server runs one node: it serves callers, other nodes, operators and the deployment's platform.
 type Server struct {
-	settings settings.Proxy
-	logger   log.Logger
-	clock    *clock.Clock
-	keeper   *Keeper
-	client   *stream.Client
-	handler  *forward.Handler
-	callers  *pipeline.Server
-	listener net.Listener
-	admin    *admin.Service
-	link     *link.Meter
-	// answers spreads the large answers of the node and of its gate over time, nil without a bound.
-	answers *exchange.Pacer
-	// answerBuffer bounds what both hold of large answers.
-	answerBuffer *exchange.AnswerBuffer
-	calls        callsUnderWay
-	stopping     atomic.Bool
-	failure      chan error
-	// lastCall is when the newest call came, stopsAt when the process ends, zero while
-	// that is not near.
-	lastCall atomic.Int64
-	stopsAt  atomic.Int64
+	settings       settings.Proxy
+	logger         log.Logger
+	clock          *clock.Clock
+	keeper         *Keeper
+	client         *stream.Client
+	handler        *forward.Handler
+	callerServer   *pipeline.Server
+	callerListener net.Listener
+	admin          *admin.Service
+	link           *link.Meter
+	// responsePacer limits the rate of large responses of the node and its gate; nil for no limit.
+	responsePacer *exchange.Pacer
+	// responseBuffer bounds the memory for large responses of the node and its gate.
+	responseBuffer *exchange.AnswerBuffer
+	inFlight       inFlightCalls
+	stopping       atomic.Bool
+	saveFailed     chan error
+	// lastCallAt is the arrival of the last call, stopsAt the time until which calls must have ended, zero
+	// unless the node is stopping. Both are readings of clock.
+	lastCallAt atomic.Int64
+	stopsAt    atomic.Int64
 
 	gate              *gate.Gate
 	gateListener      net.Listener
@@ -96,32 +96,31 @@
 	interfaceListener net.Listener
 	interfaceHandler  http.Handler
 	observer          *observer
-	// quarantine knows requests under which back ends ended, suspects is what this node's gate has
-	// seen of them.
+	// quarantine is the list of suspect requests; suspects holds the crashes and responses that this
+	// node saw and has not reported yet.
 	quarantine quarantine.Filter
 	suspects   quarantine.Outbox
-	// quotas hold the tenants' limits.
+	// quotas enforces the tenants' limits.
 	quotas *quota.Limiter
-	// table is the newest one; only putInForce uses it.
+	// table is the current routing table; only activate uses it.
 	table *routing.Table
-	// orders are the newest ones in force.
+	// orders are the operators' orders in force: evacuations and rollouts.
 	orders atomic.Pointer[orders.Table]
 }
 
-// New opens the node's sockets and reads its last configuration.
-//
-// newInterface, if set, makes the handler of settings.InterfaceListen.
+// New opens the node's listeners and loads its saved configuration. newInterface, if not nil, returns
+// the handler served at config.InterfaceListen.
 func New(config settings.Proxy, logger log.Logger, newInterface func(*Server) http.Handler) (*Server, error) {
-	s := &Server{settings: config, logger: logger, clock: clock.New(), link: link.NewMeter(config.LinkMegabits * megabit), answerBuffer: exchange.NewAnswerBuffer(maxHeldAnswers), failure: make(chan error, 1)}
+	s := &Server{settings: config, logger: logger, clock: clock.New(), link: link.NewMeter(config.LinkMegabits * megabit), responseBuffer: exchange.NewAnswerBuffer(maxBufferedResponseBytes), saveFailed: make(chan error, 1)}
 	if config.LinkMegabits > 0 {
-		s.answers = exchange.NewAnswerPacer(config.LinkMegabits*megabit, s.link.UnpacedRate, s.clock.Now)
+		s.responsePacer = exchange.NewAnswerPacer(config.LinkMegabits*megabit, s.link.UnpacedRate, s.clock.Now)
 	}
 	s.quotas = quota.NewLimiter(quota.Config{Window: config.Quotas.Policy().Window, Life: rand.Uint64(), OnSurge: func() { s.client.PingSoon() }})
 	if err := s.openKeeper(); err != nil {
 		return nil, err
 	}
 	var err error
-	if s.listener, err = net.Listen("tcp", config.Listen); err != nil {
+	if s.callerListener, err = net.Listen("tcp", config.Listen); err != nil {
 		return nil, fmt.Errorf("listen for callers: %w", err)
 	}
 	s.admin, err = admin.Listen(config.AdminListen, admin.Options{Status: s.status, Ready: s.ready, MetricsListen: config.MetricsListen})
@@ -129,10 +128,10 @@
 		return nil, err
 	}
 	s.observer = newObserver(s.admin.Registry, logger)
-	s.observer.watchLink(s.admin.Registry, s.link)
-	s.observer.watchLargeAnswers(s.admin.Registry, s.link, s.answerBuffer)
-	s.observer.watchQuarantine(s.admin.Registry, &s.quarantine, &s.suspects)
-	s.observer.watchQuotas(s.admin.Registry, s.quotas)
+	s.observer.registerLink(s.admin.Registry, s.link)
+	s.observer.registerLargeResponses(s.admin.Registry, s.link, s.responseBuffer)
+	s.observer.registerQuarantine(s.admin.Registry, &s.quarantine, &s.suspects)
+	s.observer.registerQuotas(s.admin.Registry, s.quotas)
 	if err := s.openGate(); err != nil {
 		return nil, err
 	}
@@ -140,14 +139,14 @@
 		return nil, err
 	}
 	s.handler = forward.New(s.forwardConfig())
-	s.callers = s.newServer(http.HandlerFunc(s.serveCall), s.handler.MayRunBeside)
+	s.callerServer = s.newServer(http.HandlerFunc(s.serveCall), s.handler.MayRunBeside)
 	return s, s.newClient()
 }
 
-// newServer returns a server whose calls a planned stop waits for.
+// newServer returns a server whose calls a graceful stop waits for.
 func (s *Server) newServer(handler http.Handler, concurrent func(*http.Request) bool) *pipeline.Server {
 	return pipeline.New(pipeline.Config{
-		Handler: s.calls.counted(handler), Concurrent: concurrent, MaxConcurrent: maxPipelined,
+		Handler: s.inFlight.track(handler), Concurrent: concurrent, MaxConcurrent: maxPipelined,
 		HeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, WriteTimeout: writeTimeout, MaxHeaderBytes: maxHeaderBytes,
 		OnPanic: func(value any) { s.logger.Log("event", "handler_panicked", "value", value) },
 	})
@@ -165,10 +164,10 @@
 		}
 	}
 	s.keeper, err = NewKeeper(KeeperConfig{
-		Files: files, Group: s.settings.Group, Verifier: verifier, InForce: s.putInForce,
+		Files: files, Group: s.settings.Group, Verifier: verifier, InForce: s.activate,
 		OnFailure: func(err error) {
 			select {
-			case s.failure <- err:
+			case s.saveFailed <- err:
 			default:
 			}
 		},
@@ -177,8 +176,8 @@
 }
 
 func (s *Server) newClient() error {
-	peer := &metrics.Link{}
-	peer.Set(metrics.LinkRelay)
+	relayLink := &metrics.Link{}
+	relayLink.Set(metrics.LinkRelay)
 	var err error
 	s.client, err = stream.NewClient(stream.ClientConfig{
 		Hello: protocol.Hello{
@@ -190,23 +189,23 @@
 		SilenceTimeout: time.Duration(s.settings.SilenceTimeout),
 		DialTimeout:    dialTimeout,
 		Wrap:           func(conn net.Conn) net.Conn { return s.link.Conn(link.Control, conn) },
-		Observe:        metrics.NewTraffic(s.admin.Registry).Observe(peer),
+		Observe:        metrics.NewTraffic(s.admin.Registry).Observe(relayLink),
 		Logger:         s.logger,
 		Now:            s.clock.Elapsed,
 		OnConfirmed:    s.keeper.Confirmed,
 		Announce:       s.announce,
-		OnQuotas:       s.hearQuotas,
-	}, s.keeper, candidates(s.settings))
+		OnQuotas:       s.applyQuotaShares,
+	}, s.keeper, serverCandidates(s.settings))
 	return err
 }
 
-// SetSeeds takes the servers to start from out of newer settings.
+// SetSeeds replaces the control plane's addresses by those of reloaded settings.
 func (s *Server) SetSeeds(config settings.Proxy) {
-	s.client.SetSeeds(candidates(config))
+	s.client.SetSeeds(serverCandidates(config))
 }
 
-// candidates are the servers of the settings.
-func candidates(config settings.Proxy) []stream.Candidate {
+// serverCandidates returns the relays and seeds of the settings, to which the node may connect.
+func serverCandidates(config settings.Proxy) []stream.Candidate {
 	all := stream.Candidates(config.Zone, config.Relays)
 	for _, address := range config.SeedAddresses() {
 		all = append(all, stream.Candidate{Address: address})
@@ -221,25 +220,26 @@
 		StopsAt: func() time.Duration { return time.Duration(s.stopsAt.Load()) },
 		Link:    s.link,
 		Headers: s.settings.Headers, Service: s.settings.Service, OnAttempt: s.observer.attempt, OnCrowding: s.observer.crowding,
-		Quarantine: &s.quarantine, OnEnded: s.noteEnded, OnAnswered: s.noteAnswered,
+		Quarantine: &s.quarantine, OnEnded: s.onCrash, OnAnswered: s.onWatchedResponse,
 		Quotas: s.quotas, KeysStaleLimit: time.Duration(s.settings.KeysStaleLimit),
 		ConfirmedAt: func() (time.Duration, bool) { return s.client.ConfirmedAt() }, StaleLimit: time.Duration(s.settings.StaleLimit),
 	}
 	if s.settings.LinkMegabits > 0 {
 		config.Pacer = exchange.NewPacer(s.settings.LinkMegabits*megabit, exchange.RequestShare, s.clock.Now)
 	}
-	config.Answers, config.AnswerBuffer = s.answers, s.answerBuffer
+	config.Answers, config.AnswerBuffer = s.responsePacer, s.responseBuffer
 	if s.gate != nil {
 		config.BackendHost, config.RetryShare = s.backendHost(), s.gate.RetryShare
 		config.GateAddress, config.Gate, config.Sender = s.settings.GateAdvertise, s.gate.Do, s.gate.Sender
-		config.Retry = retry.Config{Ratio: s.settings.Retries.Ratio, Max: gatedRetryMax}
+		config.Retry = retry.Config{Ratio: s.settings.Retries.Ratio, Max: maxSavedRetries}
 	}
 	return config
 }
 
-// Run serves until the context ends, then finishes the calls under way.
+// Run serves until ctx ends, then drains the calls in flight. It returns an error if a listener fails,
+// a configuration cannot be saved, or calls are still in flight after StopTimeout.
 func (s *Server) Run(ctx context.Context) error {
-	s.logger.Log("event", "started", "listen", s.listener.Addr(), "admin", s.admin.Address(), "group", s.settings.Group)
+	s.logger.Log("event", "started", "listen", s.callerListener.Addr(), "admin", s.admin.Address(), "group", s.settings.Group)
 	s.keeper.Start()
 	background, cancel := context.WithCancel(context.Background())
 	var group sync.WaitGroup
@@ -252,63 +252,63 @@
 		}
 	})
 	served := make(chan error, 1)
-	group.Go(func() { served <- s.callers.Serve(s.link.Listener(link.Callers, s.listener)) })
-	s.serveGate(&group)
+	group.Go(func() { served <- s.callerServer.Serve(s.link.Listener(link.Callers, s.callerListener)) })
+	s.serveListeners(&group)
 	select {
 	case <-ctx.Done():
 		return s.stop()
-	case err := <-s.failure:
-		return errors.Join(fmt.Errorf("configuration can no longer be made durable: %w", err), s.stop())
+	case err := <-s.saveFailed:
+		return errors.Join(fmt.Errorf("configuration cannot be saved: %w", err), s.stop())
 	case err := <-served:
 		return fmt.Errorf("serve callers: %w", err)
 	}
 }
 
-// stop lets callers move away, then waits for the calls under way.
+// stop gives callers time to move to other nodes, then drains the calls in flight.
 func (s *Server) stop() error {
 	s.logger.Log("event", "stopping")
 	s.stopping.Store(true)
-	ends := s.clock.Elapsed() + time.Duration(s.settings.StopTimeout)
+	deadline := s.clock.Elapsed() + time.Duration(s.settings.StopTimeout)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(s.settings.StopTimeout))
 	defer cancel()
 	time.Sleep(time.Duration(s.settings.CallerNotice))
 	s.stopGate()
-	s.awaitQuiet(ends)
-	err := s.calls.drain(ctx, s.servers()...)
+	s.awaitNoNewCalls(deadline)
+	err := s.inFlight.drain(ctx, s.drainableServers()...)
 	s.closeInterface()
 	s.logger.Log("event", "stopped", "error", err)
 	if err != nil {
-		return fmt.Errorf("calls under way did not end in %s: %w", time.Duration(s.settings.StopTimeout), err)
+		return fmt.Errorf("calls in flight did not finish within %s: %w", time.Duration(s.settings.StopTimeout), err)
 	}
 	return nil
 }
 
-// awaitQuiet keeps the node open while callers still come, who may have nowhere else to go,
-// and there is time left for them. Without a back end the node is not missed anywhere and
-// stays in any case. Calls that could outlast the process are refused.
-func (s *Server) awaitQuiet(ends time.Duration) {
-	s.stopsAt.Store(int64(ends - stopMargin))
-	backendBeside := s.gate != nil && s.gate.Present()
-	latest := ends - time.Duration(s.settings.StopTimeout)/stopReserveShare
+// awaitNoNewCalls keeps the node open until no call has arrived for idleBeforeStop, or the time
+// reserved for draining begins: callers may have no other node. With a gate whose back end is gone it
+// always waits until then. Calls that could outlast the process are rejected.
+func (s *Server) awaitNoNewCalls(deadline time.Duration) {
+	s.stopsAt.Store(int64(deadline - stopMargin))
+	hasBackend := s.gate != nil && s.gate.Present()
+	latest := deadline - time.Duration(s.settings.StopTimeout)/drainReserveDivisor
 	for s.clock.Elapsed() < latest {
-		quiet := s.clock.Elapsed() - time.Duration(s.lastCall.Load())
-		if quiet >= quietTime && (s.gate == nil || backendBeside) {
+		idle := s.clock.Elapsed() - time.Duration(s.lastCallAt.Load())
+		if idle >= idleBeforeStop && (s.gate == nil || hasBackend) {
 			return
 		}
-		time.Sleep(min(max(quietTime-quiet, quietPoll), latest-s.clock.Elapsed()))
+		time.Sleep(min(max(idleBeforeStop-idle, minIdlePoll), latest-s.clock.Elapsed()))
 	}
 }
 
 // serveCall forwards a call; a stopping node asks the caller to reconnect elsewhere.
 func (s *Server) serveCall(w http.ResponseWriter, r *http.Request) {
-	s.lastCall.Store(int64(s.clock.Elapsed()))
+	s.lastCallAt.Store(int64(s.clock.Elapsed()))
 	if s.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	s.handler.ServeHTTP(w, r)
 }
 
-// Status is what /status shows.
+// Status is the response of /status.
 type Status struct {
 	Name        string                       `json:"name"`
 	Group       string                       `json:"group"`
@@ -321,7 +321,7 @@
 	Confirmed   bool                         `json:"confirmed"`
 	StaleMillis int64                        `json:"stale_millis"`
 	Pools       map[string][]balancer.Status `json:"pools"`
-	// Tenants are those with a limit of whose calls most were refused here.
+	// Tenants are the tenants with a limit whose calls this node rejected most.
 	Tenants []quota.Standing `json:"tenants,omitempty"`
 }
 
@@ -332,7 +332,7 @@
 		Version: s.handler.Version(), Position: s.keeper.Position(), Pools: s.handler.Pools(),
 	}
 	standings := s.quotas.Standings()
-	status.Tenants = standings[:min(len(standings), shownTenants)]
+	status.Tenants = standings[:min(len(standings), maxStatusTenants)]
 	if at, confirmed := s.client.ConfirmedAt(); confirmed {
 		status.Confirmed = true
 		status.StaleMillis = (s.clock.Elapsed() - at).Milliseconds()
@@ -350,9 +350,9 @@
 	return nil
 }
 
-// putInForce swaps the table that calls are answered by.
-func (s *Server) putInForce(state *distribution.State) {
-	s.watch(state.Watchlist, state.Revision)
+// activate applies a new state to routing, the gate, quotas and rollouts.
+func (s *Server) activate(state *distribution.State) {
+	s.applyWatchlist(state.Watchlist, state.Revision)
 	table := routing.Next(s.table, state, s.settings.Zones)
 	if s.table == nil || s.table.Version != table.Version {
 		s.quotas.SetLimits(s.clock.Elapsed(), table.TenantLimits())
@@ -366,10 +366,10 @@
 	if s.registry != nil {
 		s.registry.Observe(state.Endpoints)
 	}
-	before := s.handler.Version()
+	previousVersion := s.handler.Version()
 	s.handler.SetTable(table)
-	s.followRollouts(state.Orders)
-	if table.Version != before {
+	s.applyRollouts(state.Orders)
+	if table.Version != previousVersion {
 		s.logger.Log("event", "version_in_force", "version", table.Version, "revision", table.Revision)
 	}
 }
--- a/pkg/proxy/quarantine.go
+++ b/pkg/proxy/quarantine.go
@@ -2,34 +2,34 @@
 
 import "bramblelift/pkg/quarantine"
 
-// noteEnded keeps that the back end ended while it had a call, for the control plane.
-func (s *Server) noteEnded(end quarantine.End) {
-	if s.suspects.Ended(end) {
+// onCrash records that the back end crashed while processing a call, to report it to the control plane.
+func (s *Server) onCrash(crash quarantine.End) {
+	if s.suspects.Ended(crash) {
 		s.client.PingSoon()
 	}
 }
 
-// noteAnswered keeps that the back end answered a watched call, for the control plane.
-func (s *Server) noteAnswered(answer quarantine.Answer) {
-	if s.suspects.Answered(answer) {
+// onWatchedResponse records that the back end responded to a watched call, to report it to the control plane.
+func (s *Server) onWatchedResponse(response quarantine.Answer) {
+	if s.suspects.Answered(response) {
 		s.client.PingSoon()
 	}
 }
 
-// watch puts the control plane's list of suspects in force.
-func (s *Server) watch(list *quarantine.Watchlist, revision uint64) {
+// applyWatchlist replaces the list of suspects and logs each change of a request's standing.
+func (s *Server) applyWatchlist(list *quarantine.Watchlist, revision uint64) {
 	before := s.quarantine.Requests()
 	if !s.quarantine.Set(list) {
 		return
 	}
-	now := s.quarantine.Requests()
-	for request, standing := range now {
+	after := s.quarantine.Requests()
+	for request, standing := range after {
 		if before[request] != standing {
 			s.logger.Log("event", "request_suspected", "fingerprint", request.Short(), "standing", standing, "revision", revision)
 		}
 	}
 	for request := range before {
-		if now[request] == quarantine.Unsuspected {
+		if after[request] == quarantine.Unsuspected {
 			s.logger.Log("event", "request_suspected", "fingerprint", request.Short(), "standing", quarantine.Unsuspected, "revision", revision)
 		}
 	}
--- a/pkg/proxy/quotas.go
+++ b/pkg/proxy/quotas.go
@@ -6,12 +6,12 @@
 	"bramblelift/pkg/quota"
 )
 
-// hearQuotas takes in shares of tenants' limits, which were asked for at a moment.
-func (s *Server) hearQuotas(asked time.Duration, shares quota.Shares) {
-	s.quotas.Hear(s.clock.Elapsed(), asked, shares)
+// applyQuotaShares applies this node's shares of tenants' limits, which it requested at requestedAt.
+func (s *Server) applyQuotaShares(requestedAt time.Duration, shares quota.Shares) {
+	s.quotas.Hear(s.clock.Elapsed(), requestedAt, shares)
 }
 
-// quotaReport returns what control is to hear of tenants that have a limit, nil while there are none.
+// quotaReport returns the use of tenants' limits for the control plane, or nil if no tenant has a limit.
 func (s *Server) quotaReport() *quota.Report {
 	if !s.quotas.Holds() {
 		return nil
--- a/pkg/proxy/rollout.go
+++ b/pkg/proxy/rollout.go
@@ -6,17 +6,17 @@
 	"bramblelift/pkg/rollout"
 )
 
-// followRollouts takes in the orders that gate and callers go by now, tells control, which waits for all
-// nodes to have them, and logs the steps.
-func (s *Server) followRollouts(table *orders.Table) {
+// applyRollouts stores the new orders, logs each changed rollout step and reports it: the control plane waits
+// until all nodes confirm a step.
+func (s *Server) applyRollouts(table *orders.Table) {
 	before := s.orders.Swap(table)
 	if table == nil || table == before {
 		return
 	}
-	for _, now := range table.Rollouts {
-		held, _ := before.RolloutOf(now.Service)
-		if held.Number != now.Number || held.Phase != now.Phase || held.Share != now.Share {
-			s.logRollout(now)
+	for _, current := range table.Rollouts {
+		previous, _ := before.RolloutOf(current.Service)
+		if previous.Number != current.Number || previous.Phase != current.Phase || previous.Share != current.Share {
+			s.logRollout(current)
 			s.client.PingSoon()
 		}
 	}
@@ -27,7 +27,7 @@
 		"share", r.Share, "granted", r.Exposed(), "reason", r.Reason)
 }
 
-// rolloutReports returns what control is to hear of the rollouts under way, nothing while there is none.
+// rolloutReports returns this node's reports on the rollouts that have not ended.
 func (s *Server) rolloutReports() []protocol.RolloutReport {
 	table := s.orders.Load()
 	if table == nil {
@@ -47,11 +47,11 @@
 	if s.gate == nil {
 		return report
 	}
-	if seen, underWay := s.gate.RolloutReport(); underWay && seen.Service == r.Service && seen.Number == r.Number {
-		seen.Zone = s.settings.Zone
-		report.Gate, report.AtWork = &seen.Report, seen.AtWork
-		if seen.Reopened {
-			// The node does not go by the closing: control must not take its gate for closed.
+	if observed, active := s.gate.RolloutReport(); active && observed.Service == r.Service && observed.Number == r.Number {
+		observed.Zone = s.settings.Zone
+		report.Gate, report.AtWork = &observed.Report, observed.AtWork
+		if observed.Reopened {
+			// This gate ignores the order to close: the control plane must not count it as closed.
 			report.Phase = rollout.Running
 		}
 	}
