--- a/pkg/settings/dataplane.go
+++ b/pkg/settings/dataplane.go
@@ -2,56 +2,58 @@
 
 import "time"
 
-// Defaults of the data plane.
+// Defaults of the data plane: timeouts, retries and the names of headers.
 const (
-	defaultStopTimeout    = 30 * time.Second
-	defaultCallerNotice   = 700 * time.Millisecond
-	defaultRetryRatio     = 0.1
-	defaultDeadlineHeader = "Request-Timeout-Ms"
-	defaultExpectedHeader = "Request-Expected-Instance"
-	defaultCallerHeader   = "Request-Caller"
-	defaultKeyHeader      = "Api-Key"
-	defaultTenantHeader   = "Request-Tenant"
+	defaultStopTimeout            = 30 * time.Second
+	defaultCallerNotice           = 700 * time.Millisecond
+	defaultRetryRatio             = 0.1
+	defaultDeadlineHeader         = "Request-Timeout-Ms"
+	defaultExpectedInstanceHeader = "Request-Expected-Instance"
+	defaultCallerHeader           = "Request-Caller"
+	defaultKeyHeader              = "Api-Key"
+	defaultTenantHeader           = "Request-Tenant"
 )
 
-// Headers name the headers of calls; empty ones have defaults.
+// Headers are the names of the headers that calls carry. Deadline, ExpectedInstance, Caller, Key and Tenant have
+// defaults.
 type Headers struct {
-	// RequestID is echoed by back ends. Empty: answers are not checked.
+	// RequestID is a header that back ends echo, to check that a response belongs to its call. Empty disables the
+	// check.
 	RequestID string `toml:"request_id,omitempty"`
-	// Deadline holds the milliseconds that the caller still waits.
+	// Deadline holds the remaining time in milliseconds until the caller's deadline.
 	Deadline string `toml:"deadline,omitempty"`
-	// ExpectedInstance names the back end that may run the call.
+	// ExpectedInstance names the only back end that may run the call.
 	ExpectedInstance string `toml:"expected_instance,omitempty"`
-	// Caller names the service that calls.
+	// Caller names the service that sends the call.
 	Caller string `toml:"caller,omitempty"`
-	// NotRun, with any value, is a back end's word that it has not begun the call.
+	// NotRun, with any value, marks a response of a back end that has not started to run the call.
 	NotRun string `toml:"not_run,omitempty"`
-	// Key holds the key of the caller's tenant; back ends do not see it. Tenant tells them the tenant's name
-	// in its place, whatever the caller sent.
+	// Key holds the tenant's key that the caller sends. The node removes it and sets Tenant, overwriting any value
+	// of the caller, to the tenant's name for the back end.
 	Key    string `toml:"key,omitempty"`
 	Tenant string `toml:"tenant,omitempty"`
-	// Cold, in the answers of a back end's health path, is for how many more milliseconds it is cold.
+	// Cold, in responses of a back end's health path, is for how many more milliseconds the back end is cold.
 	Cold string `toml:"cold,omitempty"`
 }
 
-// Retries bound what all nodes together may send again.
+// Retries bounds the retries of all nodes together.
 type Retries struct {
-	// Ratio is the share of calls that may be sent again, from 0 to 1.
+	// Ratio is the number of retries per call, from 0 to 1; zero selects the default.
 	Ratio float64 `toml:"ratio,omitempty"`
 }
 
-// checkGate fills in the defaults of the data plane and checks it.
-func (p *problems) checkGate(x *Proxy) {
-	setDefault(&x.StopTimeout, defaultStopTimeout)
-	setDefault(&x.CallerNotice, defaultCallerNotice)
+// checkDataPlane sets the defaults of the data plane and checks its settings.
+func (p *problems) checkDataPlane(x *Proxy) {
+	setDefaultDuration(&x.StopTimeout, defaultStopTimeout)
+	setDefaultDuration(&x.CallerNotice, defaultCallerNotice)
 	if x.Retries.Ratio == 0 {
 		x.Retries.Ratio = defaultRetryRatio
 	}
-	setText(&x.Headers.Deadline, defaultDeadlineHeader)
-	setText(&x.Headers.ExpectedInstance, defaultExpectedHeader)
-	setText(&x.Headers.Caller, defaultCallerHeader)
-	setText(&x.Headers.Key, defaultKeyHeader)
-	setText(&x.Headers.Tenant, defaultTenantHeader)
+	setDefaultText(&x.Headers.Deadline, defaultDeadlineHeader)
+	setDefaultText(&x.Headers.ExpectedInstance, defaultExpectedInstanceHeader)
+	setDefaultText(&x.Headers.Caller, defaultCallerHeader)
+	setDefaultText(&x.Headers.Key, defaultKeyHeader)
+	setDefaultText(&x.Headers.Tenant, defaultTenantHeader)
 	if x.Retries.Ratio < 0 || x.Retries.Ratio > 1 {
 		p.add("retries.ratio", "must be from 0 to 1")
 	}
@@ -59,7 +61,7 @@
 		return
 	}
 	p.checkAddress("gate_listen", x.GateListen)
-	setText(&x.GateAdvertise, x.GateListen)
+	setDefaultText(&x.GateAdvertise, x.GateListen)
 	p.checkAddress("gate_advertise", x.GateAdvertise)
 	p.checkAddress("backend_address", x.BackendAddress)
 	p.checkDistinct(map[string]string{"listen": x.Listen, "gate_listen": x.GateListen, "admin_listen": x.AdminListen})
@@ -68,7 +70,7 @@
 	}
 }
 
-func setText(target *string, value string) {
+func setDefaultText(target *string, value string) {
 	if *target == "" {
 		*target = value
 	}
--- a/pkg/settings/quotas.go
+++ b/pkg/settings/quotas.go
@@ -7,27 +7,28 @@
 	"bramblelift/pkg/quota"
 )
 
-// Quotas say how exactly tenants' limits must hold.
+// Quotas is how accurately all nodes together enforce tenants' limits. Zero values select defaults.
 type Quotas struct {
-	// Window is the time in which calls are counted: in any such time no more of a tenant's are let in, over
-	// all nodes, than (rate x window + burst) x (1 + overage) + slack. It must be the same for all processes.
+	// Window is the sliding window over which calls are counted: in any window all nodes together admit at most
+	// (rate x window + burst) x (1 + overage) + slack calls of a tenant. It must be the same for all processes.
 	Window bundle.Duration `toml:"window,omitempty"`
-	// Overage is a share of the limit, from 0 on; Slack, in calls, is for tenants with small limits.
+	// Overage is the fraction by which a limit may be exceeded; Slack is a number of calls in addition, for tenants
+	// with small limits.
 	Overage float64 `toml:"overage,omitempty"`
 	Slack   float64 `toml:"slack,omitempty"`
 }
 
 const (
-	// defaultQuotaWindow is long beside the half second in which nodes hear of a flood.
+	// defaultQuotaWindow is much longer than the half second in which nodes learn of a surge of calls.
 	defaultQuotaWindow = 5 * time.Second
-	// minQuotaWindow is the shortest in which limits hold over all nodes.
+	// minQuotaWindow is the shortest window in which nodes can enforce limits together.
 	minQuotaWindow = 2 * time.Second
-	// defaultQuotaOverage and defaultQuotaSlack are what nodes let in before they hear of a flood.
+	// defaultQuotaOverage and defaultQuotaSlack cover the calls that nodes admit before they learn of a surge.
 	defaultQuotaOverage = 0.1
 	defaultQuotaSlack   = 20
 )
 
-// Policy returns the bounds as the decisions take them, with the defaults for what is not set.
+// Policy returns the bounds for package quota, with defaults for zero values.
 func (q Quotas) Policy() quota.Policy {
 	policy := quota.Policy{Window: time.Duration(q.Window), Overage: q.Overage, Slack: q.Slack}
 	if policy.Window == 0 {
@@ -42,7 +43,7 @@
 	return policy
 }
 
-// checkQuotas checks how exactly limits must hold.
+// checkQuotas checks the window, the overage and the slack.
 func (p *problems) checkQuotas(q Quotas) {
 	if q.Window != 0 && time.Duration(q.Window) < minQuotaWindow {
 		p.add("quotas.window", "must be at least %s", minQuotaWindow)
--- a/pkg/settings/rollouts.go
+++ b/pkg/settings/rollouts.go
@@ -2,22 +2,21 @@
 
 import "bramblelift/pkg/rollout"
 
-// Rollouts bound what a version that turns out bad may get of a service's calls.
+// Rollouts bounds how many of a service's calls a new version may get until it is proven.
 type Rollouts struct {
-	// ExposureShare is the part of the calls that reach the service from order to deadline, from 0 to
-	// 1; ExposureSlack is the number of calls beyond it.
+	// ExposureShare is the share, from 0 to 1, of the service's calls between the order and its
+	// deadline. ExposureSlack is a number of calls in addition. Zero selects the default.
 	ExposureShare float64 `toml:"exposure_share,omitempty"`
 	ExposureSlack uint64  `toml:"exposure_slack,omitempty"`
 }
 
 const (
-	// defaultExposureShare bounds what a version that turns out bad gets to a tenth of the calls.
 	defaultExposureShare = 0.1
-	// defaultExposureSlack, in calls, lets a service with few calls be judged at all.
+	// defaultExposureSlack, in calls, allows a rollout of a service that gets few calls.
 	defaultExposureSlack = 50
 )
 
-// Policy returns the bounds as the decisions take them, with the defaults for what is not set.
+// Policy returns the bounds for package rollout, with defaults for zero values.
 func (r Rollouts) Policy() rollout.Policy {
 	policy := rollout.Policy{ExposureShare: r.ExposureShare, ExposureSlack: r.ExposureSlack}
 	if policy.ExposureShare == 0 {
@@ -29,7 +28,7 @@
 	return policy
 }
 
-// checkRollouts checks the bounds of rollouts. Any slack will do.
+// checkRollouts checks the exposure share. Any slack is valid.
 func (p *problems) checkRollouts(r Rollouts) {
 	if r.ExposureShare < 0 || r.ExposureShare > 1 {
 		p.add("rollouts.exposure_share", "must be from 0 to 1")
--- a/pkg/settings/settings.go
+++ b/pkg/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads and checks what a process is told when it starts: its name,
-// zone, addresses and folders. What is distributed while it runs is in package bundle.
+// Package settings loads and checks the settings files of the daemons: name, zone, addresses,
+// data folder and timeouts. The configuration distributed at run time is in package bundle.
 package settings
 
 import (
@@ -15,48 +15,49 @@
 	"bramblelift/pkg/bundle"
 )
 
-// Common is told to every daemon.
+// Common holds the settings that all daemons have.
 type Common struct {
-	// Cluster is the ID that all processes of one system share.
+	// Cluster is the ID that all processes of one deployment share.
 	Cluster string `toml:"cluster"`
 	Name    string `toml:"name"`
 	Zone    string `toml:"zone"`
-	// Zones are all zones of the deployment with their regions; empty if they are not told apart.
+	// Zones maps each zone of the deployment to its region; empty if there are no regions.
 	Zones map[string]string `toml:"zones,omitempty"`
-	// AdminListen serves status, metrics and the live and ready checks; on a
-	// control replica also the operators' calls.
+	// AdminListen is the address of status, metrics and the liveness and readiness checks,
+	// and on a control replica of the operators' API.
 	AdminListen string `toml:"admin_listen"`
-	// MetricsListen is a second address at which the same service answers, for a
-	// collector of metrics that does not reach the first; empty for none.
+	// MetricsListen is a second address of the same service, for a metrics collector that
+	// cannot reach AdminListen; empty for none.
 	MetricsListen string `toml:"metrics_listen,omitempty"`
-	// ApprovalKeys are the accepted public keys in base64.
+	// ApprovalKeys are the public keys, in base64, whose signatures approve a version.
 	ApprovalKeys []string `toml:"approval_keys"`
-	// ApprovalKeyFiles hold further ones, one a file; relative to the settings file.
+	// ApprovalKeyFiles are files with one further key each, relative to the settings file.
 	ApprovalKeyFiles []string `toml:"approval_key_files,omitempty"`
-	// SignOff says what approves a version.
+	// SignOff is how versions are approved.
 	SignOff SignOff `toml:"sign_off,omitempty"`
-	// InterfaceListen serves the interface that a deployment's platform speaks, if the
+	// InterfaceListen is the address of the API for the deployment's platform, if the
 	// program has one; empty for none.
 	InterfaceListen string `toml:"interface_listen,omitempty"`
-	// Seeds are addresses of control replicas, of which some may be gone. Who reaches one
-	// learns the others from it.
+	// Seeds are addresses of control replicas, some of which may be down. A process learns
+	// the others from the first one that it reaches.
 	Seeds []string `toml:"seeds,omitempty"`
-	// SeedPort replaces the ports of Seeds, for seeds that are known by another of their
-	// addresses; 0 for none.
+	// SeedPort replaces the ports of Seeds, if these name another port of the replicas;
+	// 0 to keep them.
 	SeedPort uint16 `toml:"seed_port,omitempty"`
 }
 
-// SignOff says what approves a version.
+// SignOff is how versions of the bundle are approved.
 type SignOff string
 
 const (
-	// SignOffSignature: an accepted key's signature; the default.
+	// SignOffSignature requires the signature of an accepted key; the default.
 	SignOffSignature SignOff = ""
-	// SignOffPublication: publishing it in one act, for operators who cannot sign.
+	// SignOffPublication also accepts versions that are created, approved and rolled in one
+	// unsigned request.
 	SignOffPublication SignOff = "publication"
 )
 
-// Verifier returns what checks approvals under these settings.
+// Verifier returns a verifier of approvals for the accepted keys and sign-off.
 func (c *Common) Verifier() (*bundle.Verifier, error) {
 	verifier, err := bundle.NewVerifier(c.Cluster, c.ApprovalKeys)
 	if err != nil {
@@ -68,7 +69,7 @@
 	return verifier, nil
 }
 
-// SeedAddresses returns the seeds with their ports replaced.
+// SeedAddresses returns Seeds, with their ports replaced by SeedPort if it is set.
 func (c *Common) SeedAddresses() []string {
 	addresses := make([]string, len(c.Seeds))
 	for i, seed := range c.Seeds {
@@ -80,14 +81,14 @@
 	return addresses
 }
 
-// Settings are those of one daemon.
+// Settings is implemented by the settings of each daemon: *Control, *Relay and *Proxy.
 type Settings interface {
 	common() *Common
 }
 
 func (c *Common) common() *Common { return c }
 
-// readKeyFiles adds the keys of the key files.
+// readKeyFiles appends the keys in ApprovalKeyFiles to ApprovalKeys.
 func (c *Common) readKeyFiles(folder string) error {
 	for _, name := range c.ApprovalKeyFiles {
 		path := name
@@ -103,109 +104,110 @@
 	return nil
 }
 
-// Peer is another process of the system.
+// Peer is a control replica or relay that the process connects to.
 type Peer struct {
 	Name    string `toml:"name"`
 	Address string `toml:"address"`
 	Zone    string `toml:"zone"`
-	// Operator is where a control replica answers operators.
+	// Operator is the address of a control replica's API for operators.
 	Operator string `toml:"operator"`
 }
 
-// Control are the settings of a control replica.
+// Control holds the settings of a control replica.
 type Control struct {
 	Common
-	// Data is the folder that holds the replica's state.
+	// Data is the folder of the replica's persistent state.
 	Data string `toml:"data"`
-	// Listen is where other replicas and relays connect.
+	// Listen is the address to which other replicas, relays and nodes connect.
 	Listen string `toml:"listen"`
-	// Advertise is the address under which others reach Listen, if it is not the same.
+	// Advertise is the address at which others reach Listen; defaults to Listen.
 	Advertise string `toml:"advertise,omitempty"`
-	// Replicas are all control replicas, this one included.
+	// Replicas are all control replicas, including this one; an odd number. Only without Seeds.
 	Replicas []Peer `toml:"replica"`
-	// Found makes this replica one of a new cluster's first ones, if its folder is empty
-	// and its address is among Seeds, which are the first replicas then. It must be set
-	// only at the first start of the whole system.
+	// Found lets this replica found a new cluster together with the other Seeds, if its data
+	// folder is empty and its address is among Seeds. Set it only at the first start of the
+	// deployment.
 	Found bool `toml:"found,omitempty"`
-	// RemoveAfter is after how much silence a replica leaves the membership; only with
-	// Seeds.
+	// RemoveAfter is how long a replica may be unreachable before it is removed from the
+	// membership; only with Seeds.
 	RemoveAfter bundle.Duration `toml:"remove_after,omitempty"`
-	// ToleratedLosses is how many replicas may be lost at once; only with Seeds.
+	// ToleratedLosses is how many replicas may fail at the same time; only with Seeds.
 	ToleratedLosses int `toml:"tolerated_losses,omitempty"`
-	// PlatformURL serves the platform's list of machines; empty for none.
+	// PlatformURL is where the replica polls the platform's list of machines; empty for none.
 	PlatformURL      string          `toml:"platform_url"`
 	PlatformInterval bundle.Duration `toml:"platform_interval"`
-	// SourceURL serves the bundles that operators create by name; empty for none.
+	// SourceURL is where the replica fetches bundles that operators create by name; empty for
+	// none.
 	SourceURL         string          `toml:"source_url"`
 	ElectionTimeout   bundle.Duration `toml:"election_timeout"`
 	HeartbeatInterval bundle.Duration `toml:"heartbeat_interval"`
-	// Rollouts bound what a version that turns out bad may get.
+	// Rollouts bounds the exposure of new versions of a service.
 	Rollouts Rollouts `toml:"rollouts,omitempty"`
-	// Quotas say how exactly tenants' limits must hold.
+	// Quotas is how accurately tenants' limits are enforced.
 	Quotas Quotas `toml:"quotas,omitempty"`
 }
 
-// Relay are the settings of a relay.
+// Relay holds the settings of a relay.
 type Relay struct {
 	Common
-	// Listen is where nodes connect.
+	// Listen is the address to which nodes connect.
 	Listen   string `toml:"listen"`
 	Controls []Peer `toml:"control"`
 	Timing
 }
 
-// Proxy are the settings of a node.
+// Proxy holds the settings of a node.
 type Proxy struct {
 	Common
 	// Group is the node group whose routes this node serves.
 	Group string `toml:"group"`
-	// Listen is where callers connect.
+	// Listen is the address to which callers connect.
 	Listen string `toml:"listen"`
-	// Data is a folder for the last configuration; empty for none. A node without
-	// one starts only on a configuration confirmed as current.
+	// Data is the folder in which the configuration is saved; empty for none. A node without
+	// one serves no calls until its configuration is confirmed as current.
 	Data   string `toml:"data"`
 	Relays []Peer `toml:"relay"`
-	// Service is the service whose back end runs beside the node; empty for none.
+	// Service is the service of the back end beside the node; empty for none.
 	Service string `toml:"service,omitempty"`
-	// BackendAddress is where that back end takes calls, GateListen where the node takes
-	// them in its place. Both or none must be set.
+	// BackendAddress is the address of that back end, GateListen that of the node's gate in
+	// front of it. Both or none must be set.
 	BackendAddress string `toml:"backend_address,omitempty"`
 	GateListen     string `toml:"gate_listen,omitempty"`
-	// GateAdvertise is the address under which other nodes reach GateListen, if it is not
-	// the same.
+	// GateAdvertise is the address at which other nodes reach GateListen; defaults to
+	// GateListen.
 	GateAdvertise string `toml:"gate_advertise,omitempty"`
-	// LinkMegabits is the rate of the machine's link in megabits a second; large bodies are
-	// spread over time so that others go in between. Zero if it is not known.
+	// LinkMegabits is the rate of the machine's link in megabits per second, for pacing large
+	// bodies so that they don't delay other calls. Zero disables pacing.
 	LinkMegabits float64 `toml:"link_megabits,omitempty"`
-	// Headers name the headers of calls.
+	// Headers are the names of the headers that calls carry.
 	Headers Headers `toml:"headers,omitempty"`
-	// Retries bound what is sent again.
+	// Retries bounds the retries of calls.
 	Retries Retries `toml:"retries,omitempty"`
-	// Quotas say how exactly tenants' limits must hold.
+	// Quotas is how accurately tenants' limits are enforced.
 	Quotas Quotas `toml:"quotas,omitempty"`
-	// KeysStaleLimit is how old the held configuration may be for calls that need a tenant's key: on a node that
-	// is cut off, a key that was taken away holds for as long. Zero for no bound.
+	// KeysStaleLimit is how old the configuration may be for calls that need a tenant's key, so that a
+	// partitioned node accepts a revoked key no longer than this. Zero for no bound.
 	KeysStaleLimit bundle.Duration `toml:"keys_stale_limit,omitempty"`
-	// StopTimeout bounds a planned stop, CallerNotice is how long before its end callers
-	// need to hear of it.
+	// StopTimeout bounds a graceful stop. For CallerNotice after its start the node only
+	// asks callers to reconnect elsewhere, and still admits calls of other nodes.
 	StopTimeout  bundle.Duration `toml:"stop_timeout,omitempty"`
 	CallerNotice bundle.Duration `toml:"caller_notice,omitempty"`
 	Timing
 }
 
-// Timing bounds a subscription.
+// Timing holds the intervals and timeouts of a subscription to a relay or control replica.
 type Timing struct {
 	PingInterval   bundle.Duration `toml:"ping_interval"`
 	SilenceTimeout bundle.Duration `toml:"silence_timeout"`
-	// StaleLimit is how long ago a server's state may have been confirmed before another
-	// server is tried.
+	// StaleLimit is how old a server's last confirmed state may be before the subscriber
+	// tries another server.
 	StaleLimit bundle.Duration `toml:"stale_limit"`
 }
 
-// Defaults.
+// Default intervals and timeouts, and bounds of the settings.
 const (
-	// DefaultPlatformInterval: reading a list that has not changed costs a few hundred
-	// bytes, and the pause is most of the time that an endpoint change takes.
+	// DefaultPlatformInterval is the interval between polls of the platform's list of
+	// machines; it dominates the delay of endpoint changes.
 	DefaultPlatformInterval  = 200 * time.Millisecond
 	defaultElectionTimeout   = time.Second
 	defaultHeartbeatInterval = 200 * time.Millisecond
@@ -216,11 +218,11 @@
 	defaultStaleLimit        = 2500 * time.Millisecond
 	defaultRemoveAfter       = 5 * time.Second
 	minReplicas              = 1
-	minElectionToHeartbeat   = 3
+	minHeartbeatsPerElection = 3
 )
 
-// Load reads a settings file, and the key files it names, into target; an empty path
-// leaves it as it is.
+// Load reads a settings file, and the key files that it names, into target. An empty path
+// leaves target unchanged. Errors name the file, and for unknown keys and bad values the line.
 func Load(path string, target Settings) error {
 	if path == "" {
 		return nil
@@ -238,7 +240,7 @@
 	return nil
 }
 
-// problems collects what is wrong with settings.
+// problems collects the errors found in settings.
 type problems []error
 
 func (p *problems) add(key, format string, values ...any) {
@@ -278,7 +280,7 @@
 		p.add("name", "must be set")
 	}
 	if _, known := c.Zones[c.Zone]; !known && len(c.Zones) > 0 {
-		p.add("zones", "%q, the zone of this process, is not among them", c.Zone)
+		p.add("zones", "%q, the zone of this process, is missing", c.Zone)
 	}
 	p.checkAddress("admin_listen", c.AdminListen)
 	if c.MetricsListen != "" {
@@ -286,7 +288,7 @@
 		p.checkDistinct(map[string]string{"metrics_listen": c.MetricsListen, "admin_listen": c.AdminListen})
 	}
 	if c.SignOff != SignOffSignature && c.SignOff != SignOffPublication {
-		p.add("sign_off", "%q is not %q; leave it out for signatures", c.SignOff, SignOffPublication)
+		p.add("sign_off", "%q is neither empty, for signatures, nor %q", c.SignOff, SignOffPublication)
 	}
 	if len(c.ApprovalKeys) == 0 && c.SignOff == SignOffSignature {
 		p.add("approval_keys", "at least one accepted key must be set")
@@ -304,7 +306,7 @@
 
 func (p *problems) checkPositive(key string, d bundle.Duration) {
 	if d <= 0 {
-		p.add(key, "must be more than zero")
+		p.add(key, "must be greater than zero")
 	}
 }
 
@@ -318,27 +320,27 @@
 	}
 }
 
-// sorted gives the errors in a fixed order.
+// joined returns the problems as one error, sorted by text, or nil if there are none.
 func (p problems) joined() error {
 	slices.SortFunc(p, func(a, b error) int { return strings.Compare(a.Error(), b.Error()) })
 	return errors.Join(p...)
 }
 
-func setDefault(d *bundle.Duration, value time.Duration) {
+func setDefaultDuration(d *bundle.Duration, value time.Duration) {
 	if *d == 0 {
 		*d = bundle.Duration(value)
 	}
 }
 
-// Check fills in defaults and reports everything that is wrong.
+// Check sets defaults and returns an error that lists all invalid settings.
 func (c *Control) Check() error {
-	setDefault(&c.PlatformInterval, DefaultPlatformInterval)
-	setDefault(&c.ElectionTimeout, defaultElectionTimeout)
-	setDefault(&c.HeartbeatInterval, defaultHeartbeatInterval)
+	setDefaultDuration(&c.PlatformInterval, DefaultPlatformInterval)
+	setDefaultDuration(&c.ElectionTimeout, defaultElectionTimeout)
+	setDefaultDuration(&c.HeartbeatInterval, defaultHeartbeatInterval)
 	var p problems
 	p.checkCommon(c.Common)
 	p.checkAddress("listen", c.Listen)
-	setText(&c.Advertise, c.Listen)
+	setDefaultText(&c.Advertise, c.Listen)
 	p.checkAddress("advertise", c.Advertise)
 	p.checkDistinct(map[string]string{"listen": c.Listen, "admin_listen": c.AdminListen})
 	if c.Data == "" {
@@ -349,18 +351,18 @@
 	p.checkReplicas(c)
 	p.checkPositive("platform_interval", c.PlatformInterval)
 	p.checkPositive("heartbeat_interval", c.HeartbeatInterval)
-	if c.ElectionTimeout < minElectionToHeartbeat*c.HeartbeatInterval {
-		p.add("election_timeout", "must be at least %d times heartbeat_interval", minElectionToHeartbeat)
+	if c.ElectionTimeout < minHeartbeatsPerElection*c.HeartbeatInterval {
+		p.add("election_timeout", "must be at least %d times heartbeat_interval", minHeartbeatsPerElection)
 	}
 	return p.joined()
 }
 
-// checkReplicas checks how the replica finds the others: by a fixed list, or by seeds.
+// checkReplicas checks that the other replicas are given by either a fixed list or seeds.
 func (p *problems) checkReplicas(c *Control) {
 	if len(c.Seeds) > 0 {
-		setDefault(&c.RemoveAfter, defaultRemoveAfter)
+		setDefaultDuration(&c.RemoveAfter, defaultRemoveAfter)
 		if len(c.Replicas) > 0 {
-			p.add("replica", "excludes seeds")
+			p.add("replica", "must not be set together with seeds")
 		}
 		if c.ToleratedLosses < 0 {
 			p.add("tolerated_losses", "must not be negative")
@@ -368,7 +370,7 @@
 		return
 	}
 	if c.Found {
-		p.add("found", "needs seeds")
+		p.add("found", "requires seeds")
 	}
 	p.checkPeers("replica", c.Replicas)
 	if len(c.Replicas)%2 == 0 || len(c.Replicas) < minReplicas {
@@ -379,11 +381,11 @@
 	}
 }
 
-// Check fills in defaults and reports everything that is wrong.
+// Check sets defaults and returns an error that lists all invalid settings.
 func (r *Relay) Check() error {
-	setDefault(&r.PingInterval, defaultRelayPing)
-	setDefault(&r.SilenceTimeout, defaultRelaySilence)
-	setDefault(&r.StaleLimit, defaultStaleLimit)
+	setDefaultDuration(&r.PingInterval, defaultRelayPing)
+	setDefaultDuration(&r.SilenceTimeout, defaultRelaySilence)
+	setDefaultDuration(&r.StaleLimit, defaultStaleLimit)
 	var p problems
 	p.checkCommon(r.Common)
 	p.checkAddress("listen", r.Listen)
@@ -393,11 +395,11 @@
 	return p.joined()
 }
 
-// Check fills in defaults and reports everything that is wrong.
+// Check sets defaults and returns an error that lists all invalid settings.
 func (x *Proxy) Check() error {
-	setDefault(&x.PingInterval, defaultProxyPing)
-	setDefault(&x.SilenceTimeout, defaultProxySilence)
-	setDefault(&x.StaleLimit, defaultStaleLimit)
+	setDefaultDuration(&x.PingInterval, defaultProxyPing)
+	setDefaultDuration(&x.SilenceTimeout, defaultProxySilence)
+	setDefaultDuration(&x.StaleLimit, defaultStaleLimit)
 	var p problems
 	p.checkCommon(x.Common)
 	p.checkAddress("listen", x.Listen)
@@ -406,7 +408,7 @@
 		p.checkPeers("relay", x.Relays)
 	}
 	p.checkTiming(x.Timing)
-	p.checkGate(x)
+	p.checkDataPlane(x)
 	p.checkQuotas(x.Quotas)
 	if x.KeysStaleLimit < 0 {
 		p.add("keys_stale_limit", "must not be negative")
--- a/pkg/settings/settings_test.go
+++ b/pkg/settings/settings_test.go
@@ -10,19 +10,19 @@
 	"github.com/matryer/is"
 )
 
-func goodCommon() Common {
+func validCommon() Common {
 	key := base64.StdEncoding.EncodeToString(make([]byte, 32))
 	return Common{Cluster: "c", Name: "one", Zone: "z", AdminListen: "127.0.0.1:9001", ApprovalKeys: []string{key}}
 }
 
-func goodControl() Control {
+func validControl() Control {
 	return Control{
-		Common: goodCommon(), Data: "/tmp/x", Listen: "127.0.0.1:9000",
+		Common: validCommon(), Data: "/tmp/x", Listen: "127.0.0.1:9000",
 		Replicas: []Peer{{Name: "one", Address: "127.0.0.1:9000"}},
 	}
 }
 
-func TestControlSettingsNameEveryFault(t *testing.T) {
+func TestControlSettingsErrorsNameTheFault(t *testing.T) {
 	for name, test := range map[string]struct {
 		change func(*Control)
 		want   string
@@ -43,7 +43,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			config := goodControl()
+			config := validControl()
 			test.change(&config)
 			err := config.Check()
 			if test.want == "" {
@@ -55,14 +55,14 @@
 	}
 }
 
-func TestRelayAndProxySettings(t *testing.T) {
+func TestRelayAndProxySettingsGetDefaultsAndAreChecked(t *testing.T) {
 	is := is.New(t)
-	relay := Relay{Common: goodCommon(), Listen: "127.0.0.1:9000", Controls: []Peer{{Name: "c", Address: "127.0.0.1:9"}}}
+	relay := Relay{Common: validCommon(), Listen: "127.0.0.1:9000", Controls: []Peer{{Name: "c", Address: "127.0.0.1:9"}}}
 	is.NoErr(relay.Check())
-	is.True(relay.PingInterval > 0) // defaults are filled in
+	is.True(relay.PingInterval > 0) // the default is set
 	relay.SilenceTimeout = relay.PingInterval
 	is.True(strings.Contains(relay.Check().Error(), `key "silence_timeout"`))
-	proxy := Proxy{Common: goodCommon(), Listen: "127.0.0.1:9000", Relays: []Peer{{Name: "r", Address: "127.0.0.1:9"}}}
+	proxy := Proxy{Common: validCommon(), Listen: "127.0.0.1:9000", Relays: []Peer{{Name: "r", Address: "127.0.0.1:9"}}}
 	is.NoErr(proxy.Check())
 	proxy.Group = "*"
 	is.True(strings.Contains(proxy.Check().Error(), `key "group"`))
@@ -81,11 +81,11 @@
 	is.NoErr(Load("", &Control{}))
 }
 
-func TestKeyFilesAreReadBesideTheSettings(t *testing.T) {
+func TestKeyFilesAreRelativeToTheSettingsFile(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
 	path := filepath.Join(folder, "relay.toml")
-	key := goodCommon().ApprovalKeys[0]
+	key := validCommon().ApprovalKeys[0]
 	is.NoErr(os.WriteFile(path, []byte("approval_key_files = [\"approval.key.pub\"]\n"), 0o600))
 	err := Load(path, &Relay{})
 	is.True(err != nil && strings.Contains(err.Error(), "approval_key_files"))
@@ -104,10 +104,10 @@
 	}{"control-1.toml": &Control{}, "control-2.toml": &Control{}, "control-3.toml": &Control{}, "relay-1.toml": &Relay{}, "proxy-1.toml": &Proxy{}} {
 		text, err := os.ReadFile(filepath.Join(folder, name))
 		is.NoErr(err)
-		// The reader makes the key; here any will do.
+		// The example expects a key file that its user generates; any key is valid here.
 		path := filepath.Join(t.TempDir(), name)
 		is.NoErr(os.WriteFile(path, text, 0o600))
-		is.NoErr(os.WriteFile(filepath.Join(filepath.Dir(path), "approval.key.pub"), []byte(goodCommon().ApprovalKeys[0]), 0o600))
+		is.NoErr(os.WriteFile(filepath.Join(filepath.Dir(path), "approval.key.pub"), []byte(validCommon().ApprovalKeys[0]), 0o600))
 		is.NoErr(Load(path, target))
 		is.NoErr(target.Check())
 	}
