--- a/pkg/ctl/bundle.go
+++ b/pkg/ctl/bundle.go
@@ -11,18 +11,18 @@
 	"bramblelift/pkg/operator"
 )
 
-// operationFlag lets a script repeat a command whose answer it lost.
+// operationFlag lets a script repeat a command whose response was lost, without carrying it out twice.
 type operationFlag struct {
 	Operation string `long:"operation" description:"operation ID; give the same one to repeat a command whose answer was lost"`
 }
 
-func (f operationFlag) id(s *session) string {
+func (f operationFlag) operationID(s *session) string {
 	if f.Operation != "" {
 		return f.Operation
 	}
-	id := operator.NewOperationID()
-	fmt.Fprintln(s.stderr, "operation", id)
-	return id
+	operationID := operator.NewOperationID()
+	fmt.Fprintln(s.stderr, "operation", operationID)
+	return operationID
 }
 
 type createCommand struct {
@@ -45,14 +45,14 @@
 		}
 		request.TOML = text
 	}
-	result, err := s.create(request, c.ExpectedHead, c.id(s))
+	result, err := s.create(request, c.ExpectedHead, c.operationID(s))
 	if err != nil {
 		return err
 	}
 	return s.printResult(result)
 }
 
-// create sends a request, filling in the head if the operator named none.
+// create sends a request to create a version. With a nil expectedHead it expects the current head.
 func (s *session) create(request operator.CreateRequest, expectedHead *uint64, operationID string) (catalog.Result, error) {
 	request.OperationID = operationID
 	request.ExpectedHead = expectedHead
@@ -98,7 +98,7 @@
 func (c *approveCommand) Execute([]string) error { return nil }
 
 func (c *approveCommand) run(s *session) error {
-	result, err := s.approve(c.Positional.Version, c.Key, c.Cluster, c.id(s))
+	result, err := s.approve(c.Positional.Version, c.Key, c.Cluster, c.operationID(s))
 	if err != nil {
 		return err
 	}
@@ -140,7 +140,7 @@
 func (c *rollCommand) Execute([]string) error { return nil }
 
 func (c *rollCommand) run(s *session) error {
-	result, err := s.roll(c.Positional.Version, c.id(s))
+	result, err := s.roll(c.Positional.Version, c.operationID(s))
 	if err != nil {
 		return err
 	}
@@ -202,7 +202,7 @@
 		fmt.Fprintln(table, "VERSION\tSTATUS\tPARENT\tDIGEST\tKEY\tHAND-BACK\tCREATED\tROLLED")
 		for _, v := range list.Versions {
 			fmt.Fprintf(table, "%d\t%s\t%d\t%s\t%s\t%t\t%s\t%s\n", v.Manifest.Version, v.Status, v.Manifest.Parent,
-				v.Manifest.Digest.Short(), orDash(v.KeyID), v.HandBack, timeText(v.CreatedMillis), timeText(v.RolledMillis))
+				v.Manifest.Digest.Short(), orDash(v.KeyID), v.HandBack, formatMillis(v.CreatedMillis), formatMillis(v.RolledMillis))
 		}
 		table.Flush()
 	})
@@ -263,7 +263,7 @@
 	return text
 }
 
-func timeText(millis int64) string {
+func formatMillis(millis int64) string {
 	if millis == 0 {
 		return "-"
 	}
--- a/pkg/ctl/ctl.go
+++ b/pkg/ctl/ctl.go
@@ -1,4 +1,4 @@
-// Package ctl is the operators' command line.
+// Package ctl implements bramblectl, the operators' command line.
 package ctl
 
 import (
@@ -18,20 +18,20 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// Exit codes.
+// Exit codes of bramblectl, which scripts rely on.
 const (
-	// ExitOK: done.
+	// ExitOK means success.
 	ExitOK = 0
-	// ExitRefused: the system declined, and nothing changed.
+	// ExitRefused means that the control plane rejected the request; nothing was changed.
 	ExitRefused = 1
-	// ExitUsage: the command line is wrong.
+	// ExitUsage means that the command line is invalid or a file cannot be read.
 	ExitUsage = 2
-	// ExitConflict: another operator was first.
+	// ExitConflict means that another operation was committed first.
 	ExitConflict = 3
-	// ExitUnavailable: no leader answered in time; the outcome may be open. Repeat
-	// with the same --operation to learn it.
+	// ExitUnavailable means that no leader responded in time, so the outcome may be unknown.
+	// Repeat the command with the same --operation to learn it.
 	ExitUnavailable = 4
-	// ExitInvalid: the bundle or the approval is invalid.
+	// ExitInvalid means that the bundle or the approval is invalid.
 	ExitInvalid = 5
 )
 
@@ -42,7 +42,7 @@
 	Timeout time.Duration `long:"timeout" default:"15s" description:"how long to look for a leader"`
 }
 
-// session is what a command runs with.
+// session holds the options, client and output streams of one command run.
 type session struct {
 	globals *globalOptions
 	client  *operator.Client
@@ -51,7 +51,7 @@
 	context context.Context
 }
 
-// command is one subcommand.
+// command is implemented by each subcommand.
 type command interface {
 	run(s *session) error
 }
@@ -90,33 +90,33 @@
 	Version    versionCommand    `command:"version" description:"print the version"`
 }
 
-// Main runs the program and returns its exit code.
+// Main runs bramblectl with arguments, without the program's name, and returns its exit code.
 func Main(arguments []string, stdout, stderr io.Writer) int {
 	var parsed options
 	parser := flags.NewParser(&parsed, flags.HelpFlag|flags.PassDoubleDash)
 	parser.Name = "bramblectl"
-	var chosen command
+	var selected command
 	parser.CommandHandler = func(active flags.Commander, _ []string) error {
-		chosen, _ = active.(command)
+		selected, _ = active.(command)
 		return nil
 	}
 	if _, err := parser.ParseArgs(arguments); err != nil {
-		return reportParse(err, stdout, stderr)
+		return reportParseError(err, stdout, stderr)
 	}
-	if chosen == nil {
+	if selected == nil {
 		fmt.Fprintln(stderr, "bramblectl: name a command; --help lists them")
 		return ExitUsage
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), parsed.Timeout)
 	defer cancel()
 	s := &session{globals: &parsed.globalOptions, client: operator.NewClient(parsed.Control), stdout: stdout, stderr: stderr, context: ctx}
-	if err := chosen.run(s); err != nil {
-		return report(err, stderr)
+	if err := selected.run(s); err != nil {
+		return reportError(err, stderr)
 	}
 	return ExitOK
 }
 
-func reportParse(err error, stdout, stderr io.Writer) int {
+func reportParseError(err error, stdout, stderr io.Writer) int {
 	var flagsError *flags.Error
 	if errors.As(err, &flagsError) && flagsError.Type == flags.ErrHelp {
 		fmt.Fprintln(stdout, flagsError.Message)
@@ -126,14 +126,14 @@
 	return ExitUsage
 }
 
-// errUsage marks a command line that cannot be carried out.
+// errUsage marks errors that exit with ExitUsage.
 var errUsage = errors.New("usage")
 
-func report(err error, stderr io.Writer) int {
+func reportError(err error, stderr io.Writer) int {
 	fmt.Fprintln(stderr, "bramblectl:", err)
-	var refused *catalog.OperationError
-	if errors.As(err, &refused) {
-		return reportRefusal(refused, stderr)
+	var opErr *catalog.OperationError
+	if errors.As(err, &opErr) {
+		return reportOperationError(opErr, stderr)
 	}
 	if errors.Is(err, errUsage) {
 		return ExitUsage
@@ -141,14 +141,14 @@
 	return ExitUnavailable
 }
 
-func reportRefusal(refused *catalog.OperationError, stderr io.Writer) int {
-	for _, problem := range refused.Problems {
+func reportOperationError(opErr *catalog.OperationError, stderr io.Writer) int {
+	for _, problem := range opErr.Problems {
 		fmt.Fprintln(stderr, "  ", problem)
 	}
-	if refused.Winner != nil {
-		fmt.Fprintf(stderr, "   version %d (digest %s) stands there\n", refused.Winner.Version, refused.Winner.Digest.Short())
+	if opErr.Winner != nil {
+		fmt.Fprintf(stderr, "   version %d (digest %s) stands there\n", opErr.Winner.Version, opErr.Winner.Digest.Short())
 	}
-	switch refused.Code {
+	switch opErr.Code {
 	case catalog.CodeConflict, catalog.CodeOperationReused:
 		return ExitConflict
 	case catalog.CodeInvalidBundle, catalog.CodeInvalidApproval:
@@ -160,26 +160,26 @@
 	}
 }
 
-// needControl checks that a control replica is named.
-func (s *session) needControl() error {
+// requireControl checks that the options name at least one control replica.
+func (s *session) requireControl() error {
 	if len(s.globals.Control) == 0 {
 		return fmt.Errorf("%w: name a control replica with --control or BRAMBLELIFT_CONTROL", errUsage)
 	}
 	return nil
 }
 
-// call sends a request to the leader.
-func (s *session) call(method, path string, request, answer any) error {
-	if err := s.needControl(); err != nil {
+// call sends a request to the leader and decodes its response.
+func (s *session) call(method, path string, request, response any) error {
+	if err := s.requireControl(); err != nil {
 		return err
 	}
-	return s.client.Do(s.context, method, path, request, answer)
+	return s.client.Do(s.context, method, path, request, response)
 }
 
-// print writes JSON if asked for, else what human writes.
-func (s *session) print(value any, human func()) error {
+// print writes value as JSON with --json, and calls printText otherwise.
+func (s *session) print(value any, printText func()) error {
 	if !s.globals.JSON {
-		human()
+		printText()
 		return nil
 	}
 	encoder := json.NewEncoder(s.stdout)
@@ -207,7 +207,7 @@
 // Execute implements flags.Commander.
 func (c *completionCommand) Execute([]string) error { return nil }
 
-// completionScript asks the program itself, which go-flags answers.
+// completionScript runs bramblectl itself for completions, which go-flags implements.
 var completionScript = strings.TrimLeft(`
 _bramblectl() {
     local IFS=$'\n'
--- a/pkg/ctl/evacuate.go
+++ b/pkg/ctl/evacuate.go
@@ -26,7 +26,7 @@
 	if c.End {
 		method = http.MethodDelete
 	}
-	began := time.Now()
+	start := time.Now()
 	var result operator.OrderResult
 	if err := s.call(method, operator.PathEvacuations+url.PathEscape(zone), nil, &result); err != nil {
 		return err
@@ -41,16 +41,16 @@
 	if err != nil || !c.Wait {
 		return err
 	}
-	return s.awaitZone(zone, c.End, began)
+	return s.waitForZone(zone, c.End, start)
 }
 
-// zoneState is a zone with what its gates tell.
+// zoneState is a zone together with the state of its gates.
 type zoneState struct {
 	operator.Zone
-	// Closed counts the gates of its nodes that are closed, Running the calls behind them.
+	// Closed is the number of closed gates in the zone, Running the number of calls still in flight behind them.
 	Closed  int `json:"closed"`
 	Running int `json:"running"`
-	// Gone are nodes that no replica hears: what they do is not known.
+	// Gone is the number of nodes that no replica is connected to; the state of their gates is unknown.
 	Gone int `json:"gone"`
 }
 
@@ -59,7 +59,8 @@
 	return fmt.Sprintf("zone %s: %d of %d gates closed, %d calls running, %d nodes not heard", z.Name, z.Closed, z.Backends+z.Leaving, z.Running, z.Gone)
 }
 
-// settled reports whether every gate does as the order says. A back end that leaves has no gate to close.
+// settled reports whether every gate has carried out the order: to open, or to close and drain. Back ends that
+// are leaving are not waited for.
 func (z zoneState) settled(open bool) bool {
 	if open {
 		return z.Closed == 0
@@ -67,9 +68,9 @@
 	return z.Closed >= z.Backends && z.Running == 0
 }
 
-// joinZones adds what nodes tell of their gates to the leader's zones.
-func joinZones(zones []operator.Zone, nodes []operator.Node) []zoneState {
-	var all []zoneState
+// combineZoneStates adds the gate states that nodes report to the leader's zones.
+func combineZoneStates(zones []operator.Zone, nodes []operator.Node) []zoneState {
+	var states []zoneState
 	for _, zone := range zones {
 		state := zoneState{Zone: zone}
 		for _, node := range nodes {
@@ -82,12 +83,12 @@
 				state.Running += node.Closed.Running
 			}
 		}
-		all = append(all, state)
+		states = append(states, state)
 	}
-	return all
+	return states
 }
 
-// zoneStates asks the leader for the zones, and every replica for its nodes.
+// zoneStates fetches the zones from the leader and the nodes from every replica.
 func (s *session) zoneStates() ([]zoneState, error) {
 	var list operator.ZoneList
 	if err := s.call(http.MethodGet, operator.PathZones, nil, &list); err != nil {
@@ -97,39 +98,39 @@
 	if err != nil {
 		return nil, err
 	}
-	return joinZones(list.Zones, nodes), nil
+	return combineZoneStates(list.Zones, nodes), nil
 }
 
-// awaitZone prints each step until the gates of a zone do as ordered. A back end whose node is not heard keeps
-// it waiting: it may still run calls.
-func (s *session) awaitZone(name string, open bool, began time.Time) error {
+// waitForZone prints each change until the gates of a zone have carried out the order. It also waits for back ends
+// whose node is disconnected, since they may still run calls.
+func (s *session) waitForZone(name string, open bool, start time.Time) error {
 	last := ""
 	for {
 		states, err := s.zoneStates()
 		if err != nil {
 			return err
 		}
-		now := zoneState{Zone: operator.Zone{Name: name}}
+		current := zoneState{Zone: operator.Zone{Name: name}}
 		for _, state := range states {
 			if state.Name == name {
-				now = state
+				current = state
 			}
 		}
-		if line := now.String(); line != last {
-			if err := s.print(now, func() { fmt.Fprintln(s.stdout, line) }); err != nil {
+		if line := current.String(); line != last {
+			if err := s.print(current, func() { fmt.Fprintln(s.stdout, line) }); err != nil {
 				return err
 			}
 			last = line
 		}
-		if now.settled(open) {
+		if current.settled(open) {
 			if !s.globals.JSON {
-				fmt.Fprintf(s.stdout, "done after %s\n", time.Since(began).Round(100*time.Millisecond))
+				fmt.Fprintf(s.stdout, "done after %s\n", time.Since(start).Round(100*time.Millisecond))
 			}
 			return nil
 		}
 		select {
 		case <-s.context.Done():
-			return fmt.Errorf("the order is in force, but not done everywhere yet: %s", now)
+			return fmt.Errorf("the order is in force, but not done everywhere yet: %s", current)
 		case <-time.After(watchInterval):
 		}
 	}
@@ -156,7 +157,7 @@
 		if z.Evacuated {
 			state = "evacuated"
 		}
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\n", z.Name, orDash(z.Region), state, timeText(z.EvacuatedMillis),
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\n", z.Name, orDash(z.Region), state, formatMillis(z.EvacuatedMillis),
 			z.Backends, z.Leaving, z.Closed, z.Running, z.Gone)
 	}
 	table.Flush()
--- a/pkg/ctl/evacuate_test.go
+++ b/pkg/ctl/evacuate_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-func TestZonesShowWhatStillRunsThere(t *testing.T) {
+func TestZonesShowClosedGatesAndRunningCalls(t *testing.T) {
 	is := is.New(t)
 	zones := []operator.Zone{{Name: "a", Region: "east", Evacuated: true, Backends: 2, Leaving: 1}, {Name: "b", Backends: 1}}
 	closed := func(running int) *operator.ClosedGate {
@@ -21,7 +21,7 @@
 		{Name: "a-3", Zone: "a", Closed: closed(9)},
 		{Name: "b-1", Zone: "b", Connected: true},
 	}
-	states := joinZones(zones, nodes)
+	states := combineZoneStates(zones, nodes)
 	is.Equal(states[0].String(), "zone a: 1 of 3 gates closed, 3 calls running, 1 nodes not heard")
 	is.True(!states[0].settled(false) && !states[0].settled(true))
 	is.True(states[1].settled(true))
@@ -32,7 +32,7 @@
 b     -       serving    -      1          0        0             0        0
 `)
 	nodes[1].Closed = closed(0)
-	is.True(!joinZones(zones, nodes)[0].settled(false)) // calls are at work still
+	is.True(!combineZoneStates(zones, nodes)[0].settled(false)) // calls are still in flight
 	nodes[0].Closed = closed(0)
-	is.True(joinZones(zones, nodes)[0].settled(false))
+	is.True(combineZoneStates(zones, nodes)[0].settled(false))
 }
--- a/pkg/ctl/explain.go
+++ b/pkg/ctl/explain.go
@@ -7,7 +7,7 @@
 	"bramblelift/pkg/explain"
 )
 
-// explainCommand reads logs; it needs no control plane.
+// explainCommand searches log files; it needs no connection to the control plane.
 type explainCommand struct {
 	Positional struct {
 		ID    string   `positional-arg-name:"ID" description:"the request's ID"`
--- a/pkg/ctl/publish.go
+++ b/pkg/ctl/publish.go
@@ -7,7 +7,7 @@
 	"bramblelift/pkg/operator"
 )
 
-// publishCommand needs no operation ID: a publication is known by its number and content.
+// publishCommand needs no operation ID, since its version and content identify a publication.
 type publishCommand struct {
 	File    string  `long:"file" required:"yes" value-name:"FILE" description:"bundle file in TOML"`
 	Base    *uint64 `long:"base" description:"version that must be the newest one; default: the newest now"`
--- a/pkg/ctl/rollout.go
+++ b/pkg/ctl/rollout.go
@@ -11,18 +11,18 @@
 	"bramblelift/pkg/rollout"
 )
 
-type rolloutService struct {
+type serviceArgument struct {
 	Arguments struct {
 		Service string `positional-arg-name:"SERVICE" required:"yes"`
 	} `positional-args:"yes"`
 }
 
-func (r rolloutService) path(what string) string {
-	return operator.PathRollouts + "/" + url.PathEscape(r.Arguments.Service) + what
+func (r serviceArgument) path(suffix string) string {
+	return operator.PathRollouts + "/" + url.PathEscape(r.Arguments.Service) + suffix
 }
 
 type rolloutStartCommand struct {
-	rolloutService
+	serviceArgument
 	Version string        `long:"version" required:"yes" description:"version that the service's calls are to go to"`
 	Within  time.Duration `long:"within" required:"yes" description:"time within which the version must have proven itself"`
 }
@@ -41,7 +41,7 @@
 	})
 }
 
-type rolloutStopCommand struct{ rolloutService }
+type rolloutStopCommand struct{ serviceArgument }
 
 // Execute implements flags.Commander.
 func (c *rolloutStopCommand) Execute([]string) error { return nil }
@@ -56,7 +56,7 @@
 	})
 }
 
-type rolloutHistoryCommand struct{ rolloutService }
+type rolloutHistoryCommand struct{ serviceArgument }
 
 // Execute implements flags.Commander.
 func (c *rolloutHistoryCommand) Execute([]string) error { return nil }
--- a/pkg/ctl/status.go
+++ b/pkg/ctl/status.go
@@ -55,33 +55,33 @@
 		return err
 	}
 	if c.Zones {
-		zones := zoneSummary(nodes)
+		zones := summarizeZones(nodes)
 		return s.print(zones, func() { printZones(s, zones) })
 	}
 	return s.print(nodes, func() {
 		table := tabwriter.NewWriter(s.stdout, 0, 0, 2, ' ', 0)
 		fmt.Fprintln(table, "NODE\tGROUP\tZONE\tACTIVE\tSTAGED\tREVISION\tCONNECTED\tHEARD")
 		for _, n := range nodes {
-			fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%d\t%d\t%t\t%s\n", n.Name, orDash(n.Group), n.Zone, n.Active, n.Staged, n.Revision, n.Connected, timeText(n.HeardMillis))
+			fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%d\t%d\t%t\t%s\n", n.Name, orDash(n.Group), n.Zone, n.Active, n.Staged, n.Revision, n.Connected, formatMillis(n.HeardMillis))
 		}
 		table.Flush()
 	})
 }
 
-// nodes asks every replica and keeps the newest word on each node.
+// nodes fetches the nodes from every replica and returns the latest report on each, sorted by name.
 func (s *session) nodes() ([]operator.Node, error) {
-	if err := s.needControl(); err != nil {
+	if err := s.requireControl(); err != nil {
 		return nil, err
 	}
 	newest := map[string]operator.Node{}
-	_, err := s.client.Each(s.context, operator.PathNodes, func(answer []byte) error {
+	_, err := s.client.Each(s.context, operator.PathNodes, func(response []byte) error {
 		var nodes []operator.Node
-		if err := json.Unmarshal(answer, &nodes); err != nil {
+		if err := json.Unmarshal(response, &nodes); err != nil {
 			return fmt.Errorf("decode nodes: %w", err)
 		}
 		for _, node := range nodes {
-			held, found := newest[node.Name]
-			if !found || supersedes(node, held) {
+			previous, found := newest[node.Name]
+			if !found || supersedes(node, previous) {
 				newest[node.Name] = node
 			}
 		}
@@ -137,7 +137,7 @@
 
 const watchInterval = 200 * time.Millisecond
 
-// watchProgress is how far a version has come.
+// watchProgress counts the connected nodes, and those that have a version in force.
 type watchProgress struct {
 	Version   uint64 `json:"version"`
 	InForce   int    `json:"in_force"`
@@ -151,7 +151,7 @@
 
 func (p watchProgress) done() bool { return p.Connected > 0 && p.InForce == p.Connected }
 
-// watch prints each step of progress until every connected node has a version, or a
+// watch prints each change of progress until every connected node has a version, or a
 // later one, in force.
 func (s *session) watch(number uint64) error {
 	var last watchProgress
@@ -160,28 +160,28 @@
 		if err != nil {
 			return err
 		}
-		now := progress(nodes, number)
-		if now != last {
-			if err := s.print(now, func() { fmt.Fprintln(s.stdout, now) }); err != nil {
+		current := versionProgress(nodes, number)
+		if current != last {
+			if err := s.print(current, func() { fmt.Fprintln(s.stdout, current) }); err != nil {
 				return err
 			}
-			last = now
+			last = current
 		}
-		if now.done() {
+		if current.done() {
 			return nil
 		}
 		select {
 		case <-s.context.Done():
-			return fmt.Errorf("version %d is not in force on every connected node yet: %s", number, now)
+			return fmt.Errorf("version %d is not in force on every connected node yet: %s", number, current)
 		case <-time.After(watchInterval):
 		}
 	}
 }
 
-func progress(nodes []operator.Node, number uint64) watchProgress {
+func versionProgress(nodes []operator.Node, number uint64) watchProgress {
 	p := watchProgress{Version: number}
 	for _, node := range nodes {
-		// Relays report what they hold, but nothing is in force on them.
+		// Relays report their versions, but serve no calls.
 		if !node.Connected || node.Group == bundle.ScopeAll {
 			continue
 		}
--- a/pkg/ctl/tenants.go
+++ b/pkg/ctl/tenants.go
@@ -25,10 +25,10 @@
 	if err := s.call(http.MethodGet, operator.PathTenants, nil, &list); err != nil {
 		return err
 	}
-	return s.print(list, func() { c.show(s, list) })
+	return s.print(list, func() { c.printTable(s, list) })
 }
 
-func (c *tenantsCommand) show(s *session, list operator.TenantList) {
+func (c *tenantsCommand) printTable(s *session, list operator.TenantList) {
 	fmt.Fprintf(s.stdout, "%d tenants; %s allots to %d nodes by windows of %s\n", len(list.Tenants), list.Leader, list.Nodes, list.Window)
 	table := tabwriter.NewWriter(s.stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "TENANT\tKEYS\tRATE\tBURST\tASKED/S\tUSED\tOF WINDOW\tSTATE\tALLOTTED/S")
@@ -55,7 +55,7 @@
 // Execute implements flags.Commander.
 func (c *digestKeyCommand) Execute([]string) error { return nil }
 
-// run reads a tenant's key from standard input, so that no list of processes and no history shows it.
+// run reads a tenant's key from standard input, so that it appears in no process list or shell history.
 func (c *digestKeyCommand) run(s *session) error {
 	line, err := bufio.NewReader(os.Stdin).ReadString('\n')
 	key := strings.TrimRight(line, "\r\n")
--- a/pkg/ctl/zones.go
+++ b/pkg/ctl/zones.go
@@ -9,46 +9,45 @@
 	"bramblelift/pkg/operator"
 )
 
-// supersedes reports whether one replica's word on a node goes before another's. A node that moved
-// is connected at one replica and gone at another; the moments at which they noted that are of two
-// machines' clocks and say nothing of the order.
-func supersedes(node, held operator.Node) bool {
-	if node.Connected != held.Connected {
+// supersedes reports whether one replica's report on a node takes precedence over another's. A
+// connected node takes precedence over a disconnected one, since the replicas' clocks may differ.
+func supersedes(node, previous operator.Node) bool {
+	if node.Connected != previous.Connected {
 		return node.Connected
 	}
-	return node.HeardMillis > held.HeardMillis
+	return node.HeardMillis > previous.HeardMillis
 }
 
-// zoneVersion counts the nodes of a zone that have one version in force.
+// zoneVersion counts the nodes of a zone that have the same version in force.
 type zoneVersion struct {
 	Zone   string `json:"zone"`
 	Active uint64 `json:"active"`
-	// Connected and Gone count nodes that a replica hears, and those that none does.
+	// Connected counts the nodes connected to a replica, Gone those connected to none.
 	Connected int `json:"connected"`
 	Gone      int `json:"gone"`
-	// Example is one of the nodes, to look into.
+	// Example is the name of one of the nodes, as a starting point for an investigation.
 	Example string `json:"example"`
 }
 
-// zoneSummary sums nodes up by zone and version in force, the newest version of a zone first.
-func zoneSummary(nodes []operator.Node) []zoneVersion {
-	var all []zoneVersion
+// summarizeZones counts nodes by zone and version in force, sorted by zone and then by descending version.
+func summarizeZones(nodes []operator.Node) []zoneVersion {
+	var summaries []zoneVersion
 	for _, node := range nodes {
-		i := slices.IndexFunc(all, func(z zoneVersion) bool { return z.Zone == node.Zone && z.Active == node.Active })
+		i := slices.IndexFunc(summaries, func(z zoneVersion) bool { return z.Zone == node.Zone && z.Active == node.Active })
 		if i < 0 {
-			i = len(all)
-			all = append(all, zoneVersion{Zone: node.Zone, Active: node.Active, Example: node.Name})
+			i = len(summaries)
+			summaries = append(summaries, zoneVersion{Zone: node.Zone, Active: node.Active, Example: node.Name})
 		}
 		if node.Connected {
-			all[i].Connected++
+			summaries[i].Connected++
 		} else {
-			all[i].Gone++
+			summaries[i].Gone++
 		}
 	}
-	slices.SortFunc(all, func(a, b zoneVersion) int {
+	slices.SortFunc(summaries, func(a, b zoneVersion) int {
 		return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(b.Active, a.Active))
 	})
-	return all
+	return summaries
 }
 
 func printZones(s *session, zones []zoneVersion) {
--- a/pkg/ctl/zones_test.go
+++ b/pkg/ctl/zones_test.go
@@ -9,21 +9,20 @@
 	"github.com/matryer/is"
 )
 
-// A node that moved from one replica to another is connected, whatever the two machines' clocks say
-// of when.
+// A node that moved between replicas must be shown as connected, even if the replicas' clocks differ.
 func TestConnectedNodeIsNotShownAsGone(t *testing.T) {
 	is := is.New(t)
-	there := operator.Node{Name: "n", Connected: true, HeardMillis: 1000}
-	left := operator.Node{Name: "n", HeardMillis: 1005}
-	is.True(supersedes(there, left))
-	is.True(!supersedes(left, there))
+	connected := operator.Node{Name: "n", Connected: true, HeardMillis: 1000}
+	gone := operator.Node{Name: "n", HeardMillis: 1005}
+	is.True(supersedes(connected, gone))
+	is.True(!supersedes(gone, connected))
 	later := operator.Node{Name: "n", Connected: true, HeardMillis: 2000}
-	is.True(supersedes(later, there))
-	is.True(!supersedes(there, later))
+	is.True(supersedes(later, connected))
+	is.True(!supersedes(connected, later))
 }
 
-// With hundreds of nodes the question is which zone lags and where to look.
-func TestZonesShowWhatLags(t *testing.T) {
+// The summary must show which zone lags behind in versions, and one of its nodes.
+func TestZoneSummaryShowsLaggingNodes(t *testing.T) {
 	is := is.New(t)
 	nodes := []operator.Node{
 		{Name: "a-1", Zone: "a", Active: 7, Connected: true},
@@ -32,7 +31,7 @@
 		{Name: "a-4", Zone: "a", Active: 7},
 		{Name: "b-1", Zone: "b", Active: 7, Connected: true},
 	}
-	zones := zoneSummary(nodes)
+	zones := summarizeZones(nodes)
 	is.Equal(zones, []zoneVersion{
 		{Zone: "a", Active: 7, Connected: 2, Gone: 1, Example: "a-1"},
 		{Zone: "a", Active: 6, Connected: 1, Example: "a-2"},
