--- a/pkg/explain/explain.go
+++ b/pkg/explain/explain.go
@@ -1,5 +1,5 @@
-// Package explain leads from a request's ID to its cause: it finds the lines of one request in
-// the logs of several processes, with what these processes believed around it.
+// Package explain finds why a request failed: it collects the lines of one request from the logs
+// of several processes, together with the state changes of these processes around it.
 package explain
 
 import (
@@ -17,12 +17,12 @@
 // maxLineBytes bounds one line of a log; a longer one is an error.
 const maxLineBytes = 1 << 20
 
-// Field is one key=value pair.
+// Field is one key=value pair of a log line.
 type Field struct {
 	Key, Value string
 }
 
-// Line is one event of one process.
+// Line is one log line: an event of one process.
 type Line struct {
 	At      time.Time
 	Process string
@@ -40,7 +40,7 @@
 	return ""
 }
 
-// String returns the line without what every line has.
+// String formats the line with a short time and without role, as bramblectl prints it.
 func (l Line) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %s %s", l.At.Format("15:04:05.000000"), l.Process, l.Event)
@@ -54,14 +54,14 @@
 	return b.String()
 }
 
-// Read returns the events of a log. Lines of anything else, and what a collector puts before an
-// event, are passed over.
+// Read parses the events of a log. It skips lines without an event, and any prefix that a log
+// collector adds to a line. A line longer than 1 MiB is an error.
 func Read(r io.Reader) ([]Line, error) {
 	var lines []Line
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
-		if line, ok := parse(scanner.Bytes()); ok {
+		if line, ok := parseLine(scanner.Bytes()); ok {
 			lines = append(lines, line)
 		}
 	}
@@ -71,11 +71,11 @@
 	return lines, nil
 }
 
-// timeKey begins each event.
-const timeKey = "ts="
+// timestampPrefix is the start of each event.
+const timestampPrefix = "ts="
 
-func parse(text []byte) (Line, bool) {
-	start := bytes.Index(text, []byte(timeKey))
+func parseLine(text []byte) (Line, bool) {
+	start := bytes.Index(text, []byte(timestampPrefix))
 	if start < 0 || (start > 0 && text[start-1] != ' ') {
 		return Line{}, false
 	}
@@ -101,26 +101,26 @@
 	return line, decoder.Err() == nil && !line.At.IsZero() && line.Event != ""
 }
 
-// Report is what the logs say of one request.
+// Report holds the log lines of one request and their context.
 type Report struct {
-	// Lines are the request's own, in the order of time.
+	// Lines are the request's own lines, sorted by time.
 	Lines []Line
-	// Around are what the same processes and back ends did shortly before and after.
+	// Around are state changes of the same processes and back ends, up to 3 s before and after, sorted by time.
 	Around []Line
-	// Cause is the last refusal in a sentence; empty if there is none.
+	// Cause describes the last rejection of the request in a sentence; empty if there is none.
 	Cause string
 }
 
-// around is how long before and after a request other events may have to do with it.
-const around = 3 * time.Second
+// contextWindow is the time before and after a request for which other events are shown.
+const contextWindow = 3 * time.Second
 
-// beliefs are the events that change what a process believes.
-var beliefs = []string{
+// contextEvents are the events that report a change of a process's state.
+var contextEvents = []string{
 	"started", "stopping", "stopped", "settings_reload", "backend", "version_in_force",
 	"request_suspected", "subscribed", "subscription_ended", "subscription_moves", "subscription_stays", "lines_left_out", "lines_dropped",
 }
 
-// Find returns what the lines say of a request.
+// Find returns the report on the request with the given ID; it is empty if no line has the ID.
 func Find(lines []Line, id string) Report {
 	var report Report
 	for _, l := range lines {
@@ -133,38 +133,38 @@
 	if len(report.Lines) == 0 {
 		return report
 	}
-	report.Around = related(lines, report.Lines)
+	report.Around = linesAround(lines, report.Lines)
 	slices.SortStableFunc(report.Around, byTime)
 	for _, l := range report.Lines {
 		if l.Event == "call_refused" {
-			report.Cause = cause(l)
+			report.Cause = describeCause(l)
 		}
 	}
 	return report
 }
 
-// related returns the events of the request's processes and back ends around it.
-func related(lines, own []Line) []Line {
+// linesAround returns the state changes of the request's processes and back ends within contextWindow of it.
+func linesAround(lines, requestLines []Line) []Line {
 	processes, instances := map[string]bool{}, map[string]bool{"": false}
-	for _, l := range own {
+	for _, l := range requestLines {
 		processes[l.Process] = true
 		if instance := l.Get("instance"); instance != "" {
 			instances[instance] = true
 		}
 	}
-	from, to := own[0].At.Add(-around), own[len(own)-1].At.Add(around)
+	from, to := requestLines[0].At.Add(-contextWindow), requestLines[len(requestLines)-1].At.Add(contextWindow)
 	var found []Line
 	for _, l := range lines {
-		near := !l.At.Before(from) && !l.At.After(to)
-		if near && slices.Contains(beliefs, l.Event) && (processes[l.Process] || instances[l.Get("instance")]) {
+		inWindow := !l.At.Before(from) && !l.At.After(to)
+		if inWindow && slices.Contains(contextEvents, l.Event) && (processes[l.Process] || instances[l.Get("instance")]) {
 			found = append(found, l)
 		}
 	}
 	return found
 }
 
-// causes say what each step of a refusal means.
-var causes = map[string]string{
+// stepMeanings explains each value of step= of a rejection to operators.
+var stepMeanings = map[string]string{
 	"configuration":          "the node held no configuration yet: see its subscribed and version_in_force",
 	"route":                  "the version on the line has no such route",
 	"deadline":               "the caller's time was up before an answer came",
@@ -177,15 +177,15 @@
 	"exchange with back end": "a back end was reached and brought no whole answer of its own",
 }
 
-func cause(l Line) string {
-	meaning, known := causes[l.Get("step")]
+func describeCause(l Line) string {
+	meaning, known := stepMeanings[l.Get("step")]
 	if !known {
 		meaning = "step " + l.Get("step")
 	}
-	ran := "it has not run"
+	execution := "it has not run"
 	if l.Get("outcome") != "not-run" {
-		ran = "it may have run"
+		execution = "it may have run"
 	}
 	return fmt.Sprintf("%s answered %s after %s and %s attempts at back ends: %s (%s); %s",
-		l.Process, l.Get("status"), l.Get("took"), l.Get("attempts"), meaning, l.Get("reason"), ran)
+		l.Process, l.Get("status"), l.Get("took"), l.Get("attempts"), meaning, l.Get("reason"), execution)
 }
--- a/pkg/explain/explain_test.go
+++ b/pkg/explain/explain_test.go
@@ -36,22 +36,22 @@
 	return all
 }
 
-func TestRequestIsFollowedThroughProcesses(t *testing.T) {
+func TestFindJoinsLinesOfAllProcessesInOrder(t *testing.T) {
 	is := is.New(t)
 	report := Find(readAll(t, nodeLog, gateLog), "a1")
-	var way []string
+	var own []string
 	for _, l := range report.Lines {
-		way = append(way, l.Process+" "+l.Event)
+		own = append(own, l.Process+" "+l.Event)
 	}
-	is.Equal(way, []string{"node-2 gate_refused", "node-1 attempt_failed", "node-1 call_refused"})
+	is.Equal(own, []string{"node-2 gate_refused", "node-1 attempt_failed", "node-1 call_refused"})
 	is.Equal(report.Lines[0].Get("error"), `read: reset "x"`)
 	is.True(strings.Contains(report.Cause, "node-1 answered 502 after 3ms and 1 attempts"))
 	is.True(strings.Contains(report.Cause, "it may have run"))
-	var beside []string
+	var around []string
 	for _, l := range report.Around {
-		beside = append(beside, l.Process+" "+l.Event)
+		around = append(around, l.Process+" "+l.Event)
 	}
-	is.Equal(beside, []string{"node-1 version_in_force", "node-2 backend"}) // its back end, nobody else's
+	is.Equal(around, []string{"node-1 version_in_force", "node-2 backend"}) // no events of other back ends
 }
 
 func TestUnknownRequestHasNoLines(t *testing.T) {
@@ -61,16 +61,16 @@
 	is.Equal(report.Cause, "")
 }
 
-// Each step that a refusal can have is explained.
-func TestCausesSayWhetherItRan(t *testing.T) {
+// An operator must see from the cause whether the call can be repeated safely.
+func TestCauseStatesThatTheCallHasNotRun(t *testing.T) {
 	is := is.New(t)
 	report := Find(readAll(t, nodeLog), "a10")
 	is.True(strings.Contains(report.Cause, "the gates that were asked refused the call"))
 	is.True(strings.HasSuffix(report.Cause, "it has not run"))
 }
 
-// A hostile ID neither breaks a line nor passes for another request's.
-func TestHostileIDsStayValues(t *testing.T) {
+// A request ID with quotes and newlines must not split a line or match another request's ID.
+func TestHostileIDCannotForgeLinesOrFields(t *testing.T) {
 	is := is.New(t)
 	var buf bytes.Buffer
 	logger := logging.New(&buf, "proxy", "node-1")
