--- a/pkg/daemon/daemon.go
+++ b/pkg/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon is the command line of the bramblelift program: it reads settings,
-// lets flags override them, checks them, and runs one role until it is told to stop.
+// Package daemon implements the command line of the bramblelift program: it loads the
+// settings, applies flags over them, checks them, and runs one role until SIGINT or SIGTERM.
 package daemon
 
 import (
@@ -23,17 +23,17 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Exit codes.
+// Exit codes of bramblelift.
 const (
-	// ExitOK: the process did its job and was told to stop.
+	// ExitOK means that the process stopped gracefully, or completed a one-off command.
 	ExitOK = 0
-	// ExitFailure: the process could not go on.
+	// ExitFailure means that the process failed to start, run or stop gracefully.
 	ExitFailure = 1
-	// ExitUsage: flags or settings are wrong; nothing was started.
+	// ExitUsage means that flags or settings are invalid; nothing was started.
 	ExitUsage = 2
 )
 
-// commonFlags are the flags of every role. A flag that is set overrides the file.
+// commonFlags are the flags of every role. A flag that is set overrides the settings file.
 type commonFlags struct {
 	Settings    string `long:"settings" value-name:"FILE" description:"settings file in TOML"`
 	Check       bool   `long:"check" description:"check the settings, print what would be in force, and exit"`
@@ -43,17 +43,17 @@
 	AdminListen string `long:"admin-listen" value-name:"IP:PORT" description:"address for status, metrics and operators"`
 }
 
-func override(target *string, flag string) {
-	if flag != "" {
-		*target = flag
+func overrideIfSet(target *string, value string) {
+	if value != "" {
+		*target = value
 	}
 }
 
 func (f commonFlags) applyTo(common *settings.Common, listen *string) {
-	override(&common.Name, f.Name)
-	override(&common.Zone, f.Zone)
-	override(&common.AdminListen, f.AdminListen)
-	override(listen, f.Listen)
+	overrideIfSet(&common.Name, f.Name)
+	overrideIfSet(&common.Zone, f.Zone)
+	overrideIfSet(&common.AdminListen, f.AdminListen)
+	overrideIfSet(listen, f.Listen)
 }
 
 type controlCommand struct {
@@ -79,27 +79,27 @@
 	Version struct{}       `command:"version" description:"print the version"`
 }
 
-// errNotReloaded: the role takes its settings in at its start only.
+// errNotReloaded means that the role reads its settings only when it starts.
 var errNotReloaded = errors.New("these settings take effect at the next start")
 
-// errUsage marks errors that end with ExitUsage.
+// errUsage marks errors that exit with ExitUsage.
 var errUsage = errors.New("settings")
 
-// Interfaces are what a platform speaks to the daemons besides the product's own
-// interfaces; each may be nil.
+// Interfaces create the HTTP handlers of a platform's API, which the daemons serve at
+// interface_listen; each may be nil.
 type Interfaces struct {
-	// Control is for operators, Proxy for the back ends beside a node.
+	// Control returns the handler for operators, Proxy that for the back end beside a node.
 	Control func(*control.Server) http.Handler
 	Proxy   func(*proxy.Server) http.Handler
 }
 
-// Main runs the program and returns its exit code.
+// Main runs bramblelift with arguments, without the program's name, and returns its exit code.
 func Main(arguments []string, interfaces Interfaces, stdout, stderr io.Writer) int {
 	var parsed options
 	parser := flags.NewParser(&parsed, flags.HelpFlag|flags.PassDoubleDash)
 	parser.Name = "bramblelift"
 	if _, err := parser.ParseArgs(arguments); err != nil {
-		return reportParse(err, stdout, stderr)
+		return reportParseError(err, stdout, stderr)
 	}
 	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer cancel()
@@ -124,7 +124,7 @@
 	return ExitFailure
 }
 
-func reportParse(err error, stdout, stderr io.Writer) int {
+func reportParseError(err error, stdout, stderr io.Writer) int {
 	var flagsError *flags.Error
 	if errors.As(err, &flagsError) && flagsError.Type == flags.ErrHelp {
 		fmt.Fprintln(stdout, flagsError.Message)
@@ -134,19 +134,19 @@
 	return ExitUsage
 }
 
-// checked wraps what Load and Check found; with check set it prints the settings that
-// would be in force.
-func checked(file string, loadErr, checkErr error, check bool, value any, stdout io.Writer) (done bool, err error) {
+// validateOrPrint returns the errors of loading and checking the settings at path. With
+// printOnly it prints valid settings as TOML. done reports whether the process must not start.
+func validateOrPrint(path string, loadErr, checkErr error, printOnly bool, config any, stdout io.Writer) (done bool, err error) {
 	if loadErr != nil {
 		return true, fmt.Errorf("%w: %w", errUsage, loadErr)
 	}
 	if checkErr != nil {
-		return true, fmt.Errorf("%w: %s: %w", errUsage, file, checkErr)
+		return true, fmt.Errorf("%w: %s: %w", errUsage, path, checkErr)
 	}
-	if !check {
+	if !printOnly {
 		return false, nil
 	}
-	text, err := toml.Marshal(value)
+	text, err := toml.Marshal(config)
 	if err != nil {
 		return true, fmt.Errorf("print settings: %w", err)
 	}
@@ -156,7 +156,7 @@
 
 func (c *controlCommand) run(ctx context.Context, interfaces Interfaces, stdout io.Writer) error {
 	config, loadErr := c.load()
-	if done, err := checked(c.Settings, loadErr, config.Check(), c.Check, config, stdout); done {
+	if done, err := validateOrPrint(c.Settings, loadErr, config.Check(), c.Check, config, stdout); done {
 		return err
 	}
 	if c.Init {
@@ -179,12 +179,12 @@
 	return server.Run(ctx)
 }
 
-// load reads the settings file and lets the flags override it.
+// load reads the settings file and applies the flags over it.
 func (c *controlCommand) load() (settings.Control, error) {
 	var config settings.Control
 	err := settings.Load(c.Settings, &config)
 	c.applyTo(&config.Common, &config.Listen)
-	override(&config.Data, c.Data)
+	overrideIfSet(&config.Data, c.Data)
 	return config, err
 }
 
@@ -192,7 +192,7 @@
 	var config settings.Relay
 	loadErr := settings.Load(c.Settings, &config)
 	c.applyTo(&config.Common, &config.Listen)
-	if done, err := checked(c.Settings, loadErr, config.Check(), c.Check, config, stdout); done {
+	if done, err := validateOrPrint(c.Settings, loadErr, config.Check(), c.Check, config, stdout); done {
 		return err
 	}
 	logger := logging.New(stdout, "relay", config.Name)
@@ -207,7 +207,7 @@
 
 func (c *proxyCommand) run(ctx context.Context, interfaces Interfaces, stdout io.Writer) error {
 	config, loadErr := c.load()
-	if done, err := checked(c.Settings, loadErr, config.Check(), c.Check, config, stdout); done {
+	if done, err := validateOrPrint(c.Settings, loadErr, config.Check(), c.Check, config, stdout); done {
 		return err
 	}
 	logger := logging.New(stdout, "proxy", config.Name)
@@ -227,12 +227,12 @@
 	return server.Run(ctx)
 }
 
-// load reads the settings file and lets the flags override it.
+// load reads the settings file and applies the flags over it.
 func (c *proxyCommand) load() (settings.Proxy, error) {
 	var config settings.Proxy
 	err := settings.Load(c.Settings, &config)
 	c.applyTo(&config.Common, &config.Listen)
-	override(&config.Data, c.Data)
-	override(&config.Group, c.Group)
+	overrideIfSet(&config.Data, c.Data)
+	overrideIfSet(&config.Group, c.Group)
 	return config, err
 }
--- a/pkg/daemon/reload.go
+++ b/pkg/daemon/reload.go
@@ -11,39 +11,39 @@
 	"github.com/go-kit/log"
 )
 
-// settingsInterval is how often the settings file is looked at: it may change without a
-// signal.
-const settingsInterval = 5 * time.Second
+// settingsPollInterval is the interval at which the settings file is checked for changes
+// made without a signal.
+const settingsPollInterval = 5 * time.Second
 
-// watchSettings calls reload when the settings file has changed, told by SIGHUP or not. It
-// catches the signal, which would end the process, also if there is no file, and goes on
-// catching it after the context has ended: the process still finishes calls then.
+// watchSettings calls reload after the settings file has changed, on SIGHUP or when polling
+// it. SIGHUP stays caught without a file and after ctx has ended, since by default it would
+// terminate the process while it drains calls.
 func watchSettings(ctx context.Context, path string, logger log.Logger, reload func() error) {
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
-	last, _ := os.ReadFile(path)
+	previous, _ := os.ReadFile(path)
 	go func() {
-		ticker := time.NewTicker(settingsInterval)
+		ticker := time.NewTicker(settingsPollInterval)
 		defer ticker.Stop()
 		for {
-			signalled := false
+			signaled := false
 			select {
 			case <-ctx.Done():
 				return
 			case <-hangup:
-				signalled = true
+				signaled = true
 			case <-ticker.C:
 			}
 			text, err := os.ReadFile(path)
-			changed := err == nil && !bytes.Equal(text, last)
-			if !changed && !signalled {
+			changed := err == nil && !bytes.Equal(text, previous)
+			if !changed && !signaled {
 				continue
 			}
 			if changed {
-				last = text
+				previous = text
 				err = reload()
 			}
-			logger.Log("event", "settings_reload", "signal", signalled, "changed", changed, "error", err)
+			logger.Log("event", "settings_reload", "signal", signaled, "changed", changed, "error", err)
 		}
 	}()
 }
--- a/pkg/daemon/reload_test.go
+++ b/pkg/daemon/reload_test.go
@@ -12,10 +12,8 @@
 	"github.com/matryer/is"
 )
 
-// A SIGHUP that comes while the process stops must not end it: calls are still under way.
-// Found by a hunt (kvwdb-petitions, scale-1, seed 637449068412): the process ended 0.3 s
-// after its SIGTERM.
-func TestHangupDoesNotEndAStoppingProcess(t *testing.T) {
+// A SIGHUP during a graceful stop must not terminate the process: calls are still in flight.
+func TestSIGHUPDoesNotTerminateStoppingProcess(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "settings.toml")
 	is.NoErr(os.WriteFile(path, []byte("one"), 0o600))
@@ -30,6 +28,6 @@
 	<-reloads
 	cancel()
 	time.Sleep(50 * time.Millisecond)
-	is.NoErr(syscall.Kill(os.Getpid(), syscall.SIGHUP)) // ended the test's process before
+	is.NoErr(syscall.Kill(os.Getpid(), syscall.SIGHUP)) // would terminate the test if it were not caught
 	time.Sleep(50 * time.Millisecond)
 }
