--- a/pkg/logging/logging.go
+++ b/pkg/logging/logging.go
@@ -1,8 +1,9 @@
-// Package logging makes the process's logger: one line of key=value pairs an event.
+// Package logging provides the daemons' logger, which writes one line of key=value pairs
+// (logfmt) for each event.
 //
-// The volume is bounded: of each kind of event only so many lines a second are written, and
-// how many were left out is said in a line of its own. Writing never holds the process up:
-// lines wait in a bounded buffer, and what does not fit is dropped and counted.
+// The lines of each kind of event are limited per second; suppressed lines are counted and
+// reported in a line of their own. Logging never blocks: lines are queued in a bounded buffer,
+// and lines beyond it are dropped and counted.
 package logging
 
 import (
@@ -14,72 +15,74 @@
 	"github.com/go-kit/log"
 )
 
-// Bounds of the volume.
+// Limits of the log.
 const (
-	// linesPerSecond is how many lines of one kind of event are written in a second.
-	linesPerSecond = 25
-	// bufferedLines is how many lines wait for a reader that is slow.
-	bufferedLines = 2048
-	// closeTimeout bounds how long a process that ends waits for its last lines.
+	// maxLinesPerSecond bounds the lines written per second for one kind of event.
+	maxLinesPerSecond = 25
+	// maxBufferedLines bounds the lines queued while the output is slow.
+	maxBufferedLines = 2048
+	// closeTimeout bounds how long Close waits for queued lines to be written.
 	closeTimeout = 200 * time.Millisecond
 )
 
-// eventKey is the key under which each line names its kind.
+// eventKey is the key of a line's kind of event.
 const eventKey = "event"
 
-// Logger writes bounded lines. It implements log.Logger.
+// Logger is a rate-limited, non-blocking logger. It implements log.Logger and is safe for
+// concurrent use.
 type Logger struct {
-	next   log.Logger
+	output log.Logger
 	writer *lineWriter
 	now    func() time.Time
 
-	mu     sync.Mutex
-	second int64
-	counts map[string]int
+	mu            sync.Mutex
+	currentSecond int64
+	counts        map[string]int
 }
 
-// New returns a logger that writes to w. Each line carries the time, the role and the
+// New returns a logger that writes to w. Each line has the UTC time, the role and the
 // process's name.
 func New(w io.Writer, role, name string) *Logger {
 	writer := newLineWriter(w)
 	lines := log.NewLogfmtLogger(writer)
 	return &Logger{
-		next:   log.With(lines, "ts", log.DefaultTimestampUTC, "role", role, "name", name),
+		output: log.With(lines, "ts", log.DefaultTimestampUTC, "role", role, "name", name),
 		writer: writer, now: time.Now, counts: map[string]int{},
 	}
 }
 
-// Log implements log.Logger. The first key must be "event" for the line to be bounded by
-// its kind.
+// Log writes one line, unless the limit of its kind is reached, and implements log.Logger. The
+// kind is the value of the first key if that is "event"; all other lines share one limit.
 func (l *Logger) Log(keyvals ...any) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if second := l.now().Unix(); second != l.second {
-		l.reportLeftOut()
-		l.second = second
+	if second := l.now().Unix(); second != l.currentSecond {
+		l.logSuppressed()
+		l.currentSecond = second
 	}
-	kind := kindOf(keyvals)
+	kind := eventKind(keyvals)
 	l.counts[kind]++
-	if l.counts[kind] > linesPerSecond {
+	if l.counts[kind] > maxLinesPerSecond {
 		return nil
 	}
-	return l.next.Log(keyvals...)
+	return l.output.Log(keyvals...)
 }
 
-// reportLeftOut says how many lines of the last second were left out; the mutex is held.
-func (l *Logger) reportLeftOut() {
+// logSuppressed reports how many lines were suppressed in the last second, and how many were
+// dropped since the last report. The caller holds l.mu.
+func (l *Logger) logSuppressed() {
 	for kind, count := range l.counts {
-		if count > linesPerSecond {
-			_ = l.next.Log(eventKey, "lines_left_out", "kind", kind, "lines", count-linesPerSecond)
+		if count > maxLinesPerSecond {
+			_ = l.output.Log(eventKey, "lines_left_out", "kind", kind, "lines", count-maxLinesPerSecond)
 		}
 	}
 	clear(l.counts)
 	if dropped := l.writer.dropped.Swap(0); dropped > 0 {
-		_ = l.next.Log(eventKey, "lines_dropped", "lines", dropped)
+		_ = l.output.Log(eventKey, "lines_dropped", "lines", dropped)
 	}
 }
 
-func kindOf(keyvals []any) string {
+func eventKind(keyvals []any) string {
 	if len(keyvals) < 2 || keyvals[0] != eventKey {
 		return ""
 	}
@@ -87,24 +90,24 @@
 	return kind
 }
 
-// Close writes what is left out and still buffered, as far as the reader takes it.
+// Close reports suppressed lines and waits up to closeTimeout until queued lines are written.
 func (l *Logger) Close() {
 	l.mu.Lock()
-	l.reportLeftOut()
+	l.logSuppressed()
 	l.mu.Unlock()
 	l.writer.close()
 }
 
-// lineWriter passes lines on in a goroutine of its own.
+// lineWriter writes queued lines from a separate goroutine.
 type lineWriter struct {
-	lines   chan []byte
-	done    chan struct{}
-	once    sync.Once
-	dropped atomic.Int64
+	lines     chan []byte
+	done      chan struct{}
+	closeOnce sync.Once
+	dropped   atomic.Int64
 }
 
 func newLineWriter(w io.Writer) *lineWriter {
-	l := &lineWriter{lines: make(chan []byte, bufferedLines), done: make(chan struct{})}
+	l := &lineWriter{lines: make(chan []byte, maxBufferedLines), done: make(chan struct{})}
 	go func() {
 		defer close(l.done)
 		for line := range l.lines {
@@ -117,7 +120,7 @@
 	return l
 }
 
-// Write implements io.Writer; it never waits.
+// Write queues a copy of line, or drops it if the queue is full, and implements io.Writer.
 func (l *lineWriter) Write(line []byte) (int, error) {
 	select {
 	case l.lines <- append([]byte(nil), line...):
@@ -128,7 +131,7 @@
 }
 
 func (l *lineWriter) close() {
-	l.once.Do(func() {
+	l.closeOnce.Do(func() {
 		deadline := time.After(closeTimeout)
 		select {
 		case l.lines <- nil:
