--- a/pkg/admin/admin.go
+++ b/pkg/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin builds the small HTTP service that every daemon has: status, metrics,
-// and the live and ready checks.
+// Package admin provides the HTTP service for operators that every daemon runs: status,
+// metrics, and the liveness and readiness checks.
 package admin
 
 import (
@@ -17,38 +17,39 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// Bounds of the service.
+// Limits and timeouts of the service.
 const (
 	headerTimeout  = 5 * time.Second
 	requestTimeout = 30 * time.Second
 	maxHeaderBytes = 64 << 10
-	// shutdownTimeout is short: nobody waits for an answer that is worth holding up the
-	// end of the process for.
+	// shutdownTimeout is short, since no response of this service is worth delaying the exit of
+	// the process.
 	shutdownTimeout = 200 * time.Millisecond
 )
 
-// Service is the HTTP service of one daemon.
+// Service is the HTTP service of one daemon, with its metrics registry.
 type Service struct {
-	// Mux takes further calls until Serve.
+	// Mux accepts further handlers until Serve is called.
 	Mux      *http.ServeMux
 	Registry *prometheus.Registry
 	server   *http.Server
-	// listeners are where it answers, the administration's own address first.
+	// listeners are the open listeners, that of the admin address first.
 	listeners []net.Listener
 }
 
-// Options fill the service.
+// Options configure a Service.
 type Options struct {
-	// Status returns what /status shows as JSON.
+	// Status returns the value that /status returns as JSON.
 	Status func() any
-	// Ready reports whether the daemon can do its job, and if not why.
+	// Ready returns nil if the daemon is ready, or else the reason, which /ready returns with
+	// status 503.
 	Ready func() error
-	// MetricsListen is a further address at which the service answers, for a collector
-	// that does not reach the first; empty for none.
+	// MetricsListen is a second address of the same service, for a metrics collector that
+	// cannot reach the first; empty for none.
 	MetricsListen string
 }
 
-// Listen opens the service; Serve runs it.
+// Listen opens the service's listeners and registers its handlers. Call Serve to run it.
 func Listen(address string, options Options) (*Service, error) {
 	listeners, err := listenAll(address, options.MetricsListen)
 	if err != nil {
@@ -58,13 +59,13 @@
 	registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /live", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "live\n") })
-	mux.HandleFunc("GET /ready", func(w http.ResponseWriter, _ *http.Request) { answerReady(w, options.Ready) })
+	mux.HandleFunc("GET /ready", func(w http.ResponseWriter, _ *http.Request) { writeReady(w, options.Ready) })
 	mux.HandleFunc("GET /status", func(w http.ResponseWriter, _ *http.Request) { WriteJSON(w, http.StatusOK, options.Status()) })
 	mux.Handle("GET /metrics", promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
 	return &Service{Mux: mux, Registry: registry, listeners: listeners}, nil
 }
 
-// listenAll opens the addresses that are set: all of them or none.
+// listenAll listens at all non-empty addresses. If one fails, it closes the others.
 func listenAll(addresses ...string) ([]net.Listener, error) {
 	var opened []net.Listener
 	for _, address := range addresses {
@@ -73,8 +74,8 @@
 		}
 		l, err := net.Listen("tcp", address)
 		if err != nil {
-			for _, other := range opened {
-				other.Close()
+			for _, previous := range opened {
+				previous.Close()
 			}
 			return nil, fmt.Errorf("listen for administration: %w", err)
 		}
@@ -83,7 +84,7 @@
 	return opened, nil
 }
 
-func answerReady(w http.ResponseWriter, ready func() error) {
+func writeReady(w http.ResponseWriter, ready func() error) {
 	if err := ready(); err != nil {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		_, _ = io.WriteString(w, err.Error()+"\n")
@@ -92,7 +93,7 @@
 	_, _ = io.WriteString(w, "ready\n")
 }
 
-// WriteJSON answers with a value as JSON.
+// WriteJSON writes a response with value as JSON, or status 500 if it cannot be encoded.
 func WriteJSON(w http.ResponseWriter, status int, value any) {
 	data, err := json.Marshal(value)
 	if err != nil {
@@ -104,29 +105,29 @@
 	_, _ = w.Write(data)
 }
 
-// Address returns where the service listens.
+// Address returns the admin address that the service listens at, with its actual port.
 func (s *Service) Address() string { return s.listeners[0].Addr().String() }
 
-// Serve answers until the context ends.
+// Serve handles requests at all addresses until ctx ends or a listener fails.
 func (s *Service) Serve(ctx context.Context) error {
 	s.server = &http.Server{
 		Handler: s.Mux, ReadHeaderTimeout: headerTimeout, ReadTimeout: requestTimeout,
 		WriteTimeout: requestTimeout, MaxHeaderBytes: maxHeaderBytes,
 	}
-	stopped := make(chan struct{})
-	stop := context.AfterFunc(ctx, func() {
-		defer close(stopped)
-		limited, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
+	shutdownDone := make(chan struct{})
+	cancelShutdown := context.AfterFunc(ctx, func() {
+		defer close(shutdownDone)
+		shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer cancel()
-		_ = s.server.Shutdown(limited)
+		_ = s.server.Shutdown(shutdownCtx)
 	})
-	ended := make(chan error, len(s.listeners))
+	serveErrs := make(chan error, len(s.listeners))
 	for _, l := range s.listeners {
-		go func() { ended <- s.server.Serve(l) }()
+		go func() { serveErrs <- s.server.Serve(l) }()
 	}
-	err := <-ended
-	if !stop() {
-		<-stopped
+	err := <-serveErrs
+	if !cancelShutdown() {
+		<-shutdownDone
 	}
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
--- a/pkg/admin/admin_test.go
+++ b/pkg/admin/admin_test.go
@@ -22,43 +22,43 @@
 	return response.StatusCode, string(text)
 }
 
-// Both addresses answer, and the end is not held up by callers that rest on a connection.
-func TestServiceAnswersAtBothAddresses(t *testing.T) {
+// Both addresses must respond, and an idle connection must not delay the shutdown.
+func TestServiceRespondsAtBothAddressesAndStopsPromptly(t *testing.T) {
 	is := is.New(t)
 	s, err := Listen("127.0.0.1:0", Options{
 		Status: func() any { return "s" }, Ready: func() error { return nil }, MetricsListen: "127.0.0.1:0",
 	})
 	is.NoErr(err)
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- s.Serve(ctx) }()
+	served := make(chan error, 1)
+	go func() { served <- s.Serve(ctx) }()
 	for _, l := range s.listeners {
 		status, body := get(t, l.Addr().String(), "/metrics")
 		is.Equal(status, http.StatusOK)
 		is.True(strings.Contains(body, "go_goroutines"))
 	}
-	silent, err := net.Dial("tcp", s.Address())
+	idleConn, err := net.Dial("tcp", s.Address())
 	is.NoErr(err)
-	defer silent.Close()
+	defer idleConn.Close()
 	time.Sleep(20 * time.Millisecond)
-	began := time.Now()
+	start := time.Now()
 	cancel()
-	is.NoErr(<-ended)
-	is.True(time.Since(began) < time.Second)
+	is.NoErr(<-served)
+	is.True(time.Since(start) < time.Second)
 }
 
-func TestListenOpensAllOrNone(t *testing.T) {
+func TestFailedListenClosesOpenedListeners(t *testing.T) {
 	is := is.New(t)
-	taken, err := net.Listen("tcp", "127.0.0.1:0")
+	occupied, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	defer taken.Close()
+	defer occupied.Close()
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	address := free.Addr().String()
 	free.Close()
-	_, err = Listen(address, Options{MetricsListen: taken.Addr().String()})
+	_, err = Listen(address, Options{MetricsListen: occupied.Addr().String()})
 	is.True(err != nil)
-	again, err := net.Listen("tcp", address) // it was let go
+	reopened, err := net.Listen("tcp", address) // it was closed
 	is.NoErr(err)
-	again.Close()
+	reopened.Close()
 }
