--- a/pkg/metrics/traffic.go
+++ b/pkg/metrics/traffic.go
@@ -1,4 +1,4 @@
-// Package metrics counts what the daemons send each other.
+// Package metrics counts the traffic between the daemons, in frames and bytes.
 package metrics
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Names of links, by who is at the other end.
+// Values of the label "link": the role of the peer of a connection.
 const (
 	LinkUnknown = "unknown"
 	LinkReplica = "replica"
@@ -19,12 +19,13 @@
 	LinkNode    = "node"
 )
 
-// Link names the other end of a connection, once it is known.
+// Link holds the role of the peer of a connection, LinkUnknown until it is set. It is safe for
+// concurrent use.
 type Link struct {
 	name atomic.Pointer[string]
 }
 
-// Set names the link.
+// Set sets the peer's role, one of the Link constants.
 func (l *Link) Set(name string) { l.name.Store(&name) }
 
 func (l *Link) get() string {
@@ -34,13 +35,13 @@
 	return LinkUnknown
 }
 
-// Traffic counts the bytes of frames by link, kind and direction.
+// Traffic counts frames and their bytes by link, kind and direction.
 type Traffic struct {
 	bytes  *prometheus.CounterVec
 	frames *prometheus.CounterVec
 }
 
-// NewTraffic registers the counters.
+// NewTraffic returns a Traffic whose counters are registered with registry.
 func NewTraffic(registry prometheus.Registerer) *Traffic {
 	labels := []string{"link", "kind", "direction"}
 	t := &Traffic{
@@ -57,7 +58,7 @@
 	return t
 }
 
-// Observe returns the observer of one connection.
+// Observe returns an observer that counts the frames of one connection.
 func (t *Traffic) Observe(link *Link) wire.Observer {
 	return func(kind wire.Kind, direction wire.Direction, size int) {
 		name, kindName := link.get(), protocol.KindName(kind)
