--- a/pkg/proxy/closing.go
+++ b/pkg/proxy/closing.go
@@ -13,11 +13,11 @@
 // onClosingChange logs that an order closed the gate, that its last running call has ended, or that it opened
 // again, and reports the change to the control plane.
 func (s *Server) onClosingChange(c gate.ClosingChange) {
-	s.client.PingSoon()
+	s.controlClient.PingSoon()
 	took := c.Took.Round(time.Millisecond)
 	switch {
 	case c.Quiet:
-		s.observer.closingTime.Set(c.Took.Seconds())
+		s.observer.gateDrainTime.Set(c.Took.Seconds())
 		s.logger.Log("event", "gate_quiet", "instance", c.Backend, "reason", string(c.Reason), "took", took)
 	case c.Reason != "":
 		s.logger.Log("event", "gate_closed", "instance", c.Backend, "reason", string(c.Reason), "let_go", c.Dropped, "running", c.Running)
@@ -49,7 +49,7 @@
 
 // registerBackend registers the metrics of the back end's state.
 func (o *observer) registerBackend(registry prometheus.Registerer, g *gate.Gate) {
-	registry.MustRegister(o.closingTime)
+	registry.MustRegister(o.gateDrainTime)
 	for _, state := range backendStates {
 		registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "bramblelift_gate_backend", Help: "1 for the state of the back end beside the node, 0 for all others.",
--- a/pkg/proxy/drain.go
+++ b/pkg/proxy/drain.go
@@ -62,13 +62,13 @@
 // timeout for connections without a request, which HTTP clients keep open in advance.
 func (c *inFlightCalls) drain(ctx context.Context, servers ...drainableServer) error {
 	ctx, cancel := context.WithCancel(ctx)
-	var group sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, server := range servers {
-		group.Go(func() { _ = server.Shutdown(ctx) })
+		wg.Go(func() { _ = server.Shutdown(ctx) })
 	}
 	err := c.waitIdle(ctx)
 	cancel()
-	group.Wait()
+	wg.Wait()
 	for _, server := range servers {
 		_ = server.Close()
 	}
--- a/pkg/proxy/drain_test.go
+++ b/pkg/proxy/drain_test.go
@@ -29,9 +29,9 @@
 	is := is.New(t)
 	var calls inFlightCalls
 	server, started, release := newBlockingServer(t, &calls)
-	unused, err := net.Dial("tcp", server.Listener.Addr().String())
+	idleConn, err := net.Dial("tcp", server.Listener.Addr().String())
 	is.NoErr(err)
-	defer unused.Close()
+	defer idleConn.Close()
 	result := make(chan string, 1)
 	go func() {
 		response, err := http.Get(server.URL)
--- a/pkg/proxy/gate.go
+++ b/pkg/proxy/gate.go
@@ -25,19 +25,19 @@
 	}
 	s.gate = gate.New(gate.Config{
 		Headers: s.settings.Headers, Now: s.clock.Elapsed, OnCall: s.observer.gateCall,
-		ServedHere: func(r *http.Request) bool { return s.handler.ServedIn(s.settings.Zone, r) },
+		ServedHere: func(r *http.Request) bool { return s.forwarder.ServedIn(s.settings.Zone, r) },
 		Link:       s.link, Answers: s.responsePacer, AnswerBuffer: s.responseBuffer,
 		Quarantine: &s.quarantine, OnEnded: s.onCrash, OnAnswered: s.onWatchedResponse,
 		OnClosing: s.onClosingChange,
-		OnSender:  func(service string, sender exchange.Sender) { s.handler.HearOf(service, sender) },
+		OnSender:  func(service string, sender exchange.Sender) { s.forwarder.HearOf(service, sender) },
 		OnCold:    s.observer.logColdChange, OnColdUnknown: s.observer.logColdUnknown,
-		ConfirmedAt: func() (time.Duration, bool) { return s.client.ConfirmedAt() },
+		ConfirmedAt: func() (time.Duration, bool) { return s.controlClient.ConfirmedAt() },
 	})
 	s.observer.registerGate(s.admin.Registry, s.gate)
 	s.observer.registerBackend(s.admin.Registry, s.gate)
-	s.registry = registration.New(registration.Config{
+	s.backendRegistry = registration.New(registration.Config{
 		Gate: s.gate, GateAddress: s.settings.GateAdvertise, Service: s.settings.Service,
-		Changed: func() { s.client.PingSoon() }, OnChange: s.logBackend,
+		Changed: func() { s.controlClient.PingSoon() }, OnChange: s.logBackend,
 	})
 	var err error
 	if s.gateListener, err = wire.Listen(s.settings.GateListen); err != nil {
@@ -56,16 +56,16 @@
 	return address.Addr().Unmap()
 }
 
-// openInterface opens the listener for the deployment's platform, if the settings name one.
-func (s *Server) openInterface(newInterface func(*Server) http.Handler) error {
-	if s.settings.InterfaceListen == "" || newInterface == nil {
+// openPlatformListener opens the listener for the deployment's platform, if the settings name one.
+func (s *Server) openPlatformListener(newPlatformHandler func(*Server) http.Handler) error {
+	if s.settings.InterfaceListen == "" || newPlatformHandler == nil {
 		return nil
 	}
 	var err error
-	if s.interfaceListener, err = net.Listen("tcp", s.settings.InterfaceListen); err != nil {
+	if s.platformListener, err = net.Listen("tcp", s.settings.InterfaceListen); err != nil {
 		return fmt.Errorf("listen for the deployment's interface: %w", err)
 	}
-	s.interfaceHandler = newInterface(s)
+	s.platformHandler = newPlatformHandler(s)
 	return nil
 }
 
@@ -74,8 +74,8 @@
 	if h.Zone == "" {
 		h.Zone = s.settings.Zone
 	}
-	if s.registry != nil {
-		s.registry.Take(h)
+	if s.backendRegistry != nil {
+		s.backendRegistry.Take(h)
 	}
 }
 
@@ -88,13 +88,13 @@
 // KnowsService reports whether a service may have a back end beside the node: it is named in the settings or the
 // configuration. Without a configuration every service is accepted.
 func (s *Server) KnowsService(name string) bool {
-	return name == s.settings.Service || s.handler == nil || s.handler.KnowsService(name)
+	return name == s.settings.Service || s.forwarder == nil || s.forwarder.KnowsService(name)
 }
 
 // BackendLeft removes a back end that deregistered itself.
 func (s *Server) BackendLeft(id string) {
-	if s.registry != nil {
-		s.registry.Leave(id, time.Now())
+	if s.backendRegistry != nil {
+		s.backendRegistry.Leave(id, time.Now())
 	}
 }
 
@@ -108,8 +108,8 @@
 // announce returns what the node reports to the control plane with the next ping.
 func (s *Server) announce() protocol.Announce {
 	announcement := protocol.Announce{Closed: s.closedGateReport()}
-	if s.registry != nil {
-		announcement.Endpoints = s.registry.Announcements()
+	if s.backendRegistry != nil {
+		announcement.Endpoints = s.backendRegistry.Announcements()
 	}
 	if evidence := s.suspects.Take(s.clock.Elapsed()); !evidence.Empty() {
 		announcement.Evidence = &evidence
@@ -120,12 +120,12 @@
 }
 
 // serveListeners starts serving other nodes and the deployment's platform.
-func (s *Server) serveListeners(group *sync.WaitGroup) {
+func (s *Server) serveListeners(wg *sync.WaitGroup) {
 	if s.gateServer != nil {
-		group.Go(func() { s.logServeError("gate", s.gateServer.Serve(s.link.Listener(link.Nodes, s.gateListener))) })
+		wg.Go(func() { s.logServeError("gate", s.gateServer.Serve(s.link.Listener(link.Nodes, s.gateListener))) })
 	}
-	if s.interfaceListener != nil {
-		group.Go(func() { s.logServeError("interface", http.Serve(s.interfaceListener, s.interfaceHandler)) })
+	if s.platformListener != nil {
+		wg.Go(func() { s.logServeError("interface", http.Serve(s.platformListener, s.platformHandler)) })
 	}
 }
 
@@ -150,11 +150,11 @@
 	return []drainableServer{s.callerServer, s.gateServer}
 }
 
-// closeInterface closes the listener for the platform. It is closed last, so that the back end can
-// send heartbeats during the drain.
-func (s *Server) closeInterface() {
-	if s.interfaceListener != nil {
-		s.interfaceListener.Close()
+// closePlatformListener closes the listener for the platform. It is closed last, so that the back end
+// can send heartbeats during the drain.
+func (s *Server) closePlatformListener() {
+	if s.platformListener != nil {
+		s.platformListener.Close()
 	}
 }
 
--- a/pkg/proxy/keeper.go
+++ b/pkg/proxy/keeper.go
@@ -32,8 +32,8 @@
 	Verifier distribution.ApprovalVerifier
 	// InForce is called with each state that the node must serve calls with.
 	InForce func(*distribution.State)
-	// OnFailure is called when a state cannot be saved. The process must exit then: after a
-	// restart it could serve an older version than it has served.
+	// OnFailure is called when a state cannot be saved. The process must exit then, since a later
+	// restart could load an older version than the one served.
 	OnFailure func(error)
 }
 
--- a/pkg/proxy/observer.go
+++ b/pkg/proxy/observer.go
@@ -24,7 +24,7 @@
 	gateWaits       prometheus.Histogram
 	serviceTimes    prometheus.Histogram
 	regionDelayRise *prometheus.GaugeVec
-	closingTime     prometheus.Gauge
+	gateDrainTime   prometheus.Gauge
 	// heartbeatsRejected counts heartbeats that named no usable back end.
 	heartbeatsRejected prometheus.Counter
 }
@@ -57,7 +57,7 @@
 		regionDelayRise: prometheus.NewGaugeVec(prometheus.GaugeOpts{
 			Name: "bramblelift_region_delay_rise_seconds", Help: "By how much the delay to another region is above the least, when its crowding last changed.",
 		}, []string{"region"}),
-		closingTime: prometheus.NewGauge(prometheus.GaugeOpts{
+		gateDrainTime: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "bramblelift_gate_quiet_seconds", Help: "How long the calls at work took to end when orders closed the gate last.",
 		}),
 	}
--- a/pkg/proxy/proxy.go
+++ b/pkg/proxy/proxy.go
@@ -71,8 +71,8 @@
 	logger         log.Logger
 	clock          *clock.Clock
 	keeper         *Keeper
-	client         *stream.Client
-	handler        *forward.Handler
+	controlClient  *stream.Client
+	forwarder      *forward.Handler
 	callerServer   *pipeline.Server
 	callerListener net.Listener
 	admin          *admin.Service
@@ -89,13 +89,13 @@
 	lastCallAt atomic.Int64
 	stopsAt    atomic.Int64
 
-	gate              *gate.Gate
-	gateListener      net.Listener
-	gateServer        *pipeline.Server
-	registry          *registration.Registry
-	interfaceListener net.Listener
-	interfaceHandler  http.Handler
-	observer          *observer
+	gate             *gate.Gate
+	gateListener     net.Listener
+	gateServer       *pipeline.Server
+	backendRegistry  *registration.Registry
+	platformListener net.Listener
+	platformHandler  http.Handler
+	observer         *observer
 	// quarantine is the list of suspect requests; suspects holds the crashes and responses that this
 	// node saw and has not reported yet.
 	quarantine quarantine.Filter
@@ -108,14 +108,14 @@
 	orders atomic.Pointer[orders.Table]
 }
 
-// New opens the node's listeners and loads its saved configuration. newInterface, if not nil, returns
-// the handler served at config.InterfaceListen.
-func New(config settings.Proxy, logger log.Logger, newInterface func(*Server) http.Handler) (*Server, error) {
+// New opens the node's listeners and loads its saved configuration. newPlatformHandler, if not nil,
+// returns the handler served at config.InterfaceListen.
+func New(config settings.Proxy, logger log.Logger, newPlatformHandler func(*Server) http.Handler) (*Server, error) {
 	s := &Server{settings: config, logger: logger, clock: clock.New(), link: link.NewMeter(config.LinkMegabits * megabit), responseBuffer: exchange.NewAnswerBuffer(maxBufferedResponseBytes), saveFailed: make(chan error, 1)}
 	if config.LinkMegabits > 0 {
 		s.responsePacer = exchange.NewAnswerPacer(config.LinkMegabits*megabit, s.link.UnpacedRate, s.clock.Now)
 	}
-	s.quotas = quota.NewLimiter(quota.Config{Window: config.Quotas.Policy().Window, Life: rand.Uint64(), OnSurge: func() { s.client.PingSoon() }})
+	s.quotas = quota.NewLimiter(quota.Config{Window: config.Quotas.Policy().Window, Life: rand.Uint64(), OnSurge: func() { s.controlClient.PingSoon() }})
 	if err := s.openKeeper(); err != nil {
 		return nil, err
 	}
@@ -135,11 +135,11 @@
 	if err := s.openGate(); err != nil {
 		return nil, err
 	}
-	if err := s.openInterface(newInterface); err != nil {
+	if err := s.openPlatformListener(newPlatformHandler); err != nil {
 		return nil, err
 	}
-	s.handler = forward.New(s.forwardConfig())
-	s.callerServer = s.newServer(http.HandlerFunc(s.serveCall), s.handler.MayRunBeside)
+	s.forwarder = forward.New(s.forwardConfig())
+	s.callerServer = s.newServer(http.HandlerFunc(s.serveCall), s.forwarder.MayRunBeside)
 	return s, s.newClient()
 }
 
@@ -179,7 +179,7 @@
 	relayLink := &metrics.Link{}
 	relayLink.Set(metrics.LinkRelay)
 	var err error
-	s.client, err = stream.NewClient(stream.ClientConfig{
+	s.controlClient, err = stream.NewClient(stream.ClientConfig{
 		Hello: protocol.Hello{
 			ClusterID: s.settings.Cluster, Role: protocol.RoleNode,
 			Name: s.settings.Name, Zone: s.settings.Zone, Group: s.settings.Group,
@@ -201,7 +201,7 @@
 
 // SetSeeds replaces the control plane's addresses by those of reloaded settings.
 func (s *Server) SetSeeds(config settings.Proxy) {
-	s.client.SetSeeds(serverCandidates(config))
+	s.controlClient.SetSeeds(serverCandidates(config))
 }
 
 // serverCandidates returns the relays and seeds of the settings, to which the node may connect.
@@ -222,7 +222,7 @@
 		Headers: s.settings.Headers, Service: s.settings.Service, OnAttempt: s.observer.attempt, OnCrowding: s.observer.crowding,
 		Quarantine: &s.quarantine, OnEnded: s.onCrash, OnAnswered: s.onWatchedResponse,
 		Quotas: s.quotas, KeysStaleLimit: time.Duration(s.settings.KeysStaleLimit),
-		ConfirmedAt: func() (time.Duration, bool) { return s.client.ConfirmedAt() }, StaleLimit: time.Duration(s.settings.StaleLimit),
+		ConfirmedAt: func() (time.Duration, bool) { return s.controlClient.ConfirmedAt() }, StaleLimit: time.Duration(s.settings.StaleLimit),
 	}
 	if s.settings.LinkMegabits > 0 {
 		config.Pacer = exchange.NewPacer(s.settings.LinkMegabits*megabit, exchange.RequestShare, s.clock.Now)
@@ -242,18 +242,18 @@
 	s.logger.Log("event", "started", "listen", s.callerListener.Addr(), "admin", s.admin.Address(), "group", s.settings.Group)
 	s.keeper.Start()
 	background, cancel := context.WithCancel(context.Background())
-	var group sync.WaitGroup
-	defer group.Wait()
+	var wg sync.WaitGroup
+	defer wg.Wait()
 	defer cancel()
-	group.Go(func() { s.client.Run(background) })
-	group.Go(func() {
+	wg.Go(func() { s.controlClient.Run(background) })
+	wg.Go(func() {
 		if err := s.admin.Serve(background); err != nil {
 			s.logger.Log("event", "admin_ended", "error", err)
 		}
 	})
 	served := make(chan error, 1)
-	group.Go(func() { served <- s.callerServer.Serve(s.link.Listener(link.Callers, s.callerListener)) })
-	s.serveListeners(&group)
+	wg.Go(func() { served <- s.callerServer.Serve(s.link.Listener(link.Callers, s.callerListener)) })
+	s.serveListeners(&wg)
 	select {
 	case <-ctx.Done():
 		return s.stop()
@@ -275,7 +275,7 @@
 	s.stopGate()
 	s.awaitNoNewCalls(deadline)
 	err := s.inFlight.drain(ctx, s.drainableServers()...)
-	s.closeInterface()
+	s.closePlatformListener()
 	s.logger.Log("event", "stopped", "error", err)
 	if err != nil {
 		return fmt.Errorf("calls in flight did not finish within %s: %w", time.Duration(s.settings.StopTimeout), err)
@@ -284,8 +284,8 @@
 }
 
 // awaitNoNewCalls keeps the node open until no call has arrived for idleBeforeStop, or the time
-// reserved for draining begins: callers may have no other node. With a gate whose back end is gone it
-// always waits until then. Calls that could outlast the process are rejected.
+// reserved for draining begins: callers may have no other node. With a gate but no back end it always
+// waits until then. Meanwhile calls that could outlast the process are rejected.
 func (s *Server) awaitNoNewCalls(deadline time.Duration) {
 	s.stopsAt.Store(int64(deadline - stopMargin))
 	hasBackend := s.gate != nil && s.gate.Present()
@@ -305,7 +305,7 @@
 	if s.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	s.handler.ServeHTTP(w, r)
+	s.forwarder.ServeHTTP(w, r)
 }
 
 // Status is the response of /status.
@@ -328,12 +328,12 @@
 func (s *Server) status() any {
 	status := Status{
 		Name: s.settings.Name, Group: s.settings.Group, Zone: s.settings.Zone,
-		Server: s.client.Server(), Serving: s.keeper.Serving(), Stopping: s.stopping.Load(),
-		Version: s.handler.Version(), Position: s.keeper.Position(), Pools: s.handler.Pools(),
+		Server: s.controlClient.Server(), Serving: s.keeper.Serving(), Stopping: s.stopping.Load(),
+		Version: s.forwarder.Version(), Position: s.keeper.Position(), Pools: s.forwarder.Pools(),
 	}
 	standings := s.quotas.Standings()
 	status.Tenants = standings[:min(len(standings), maxStatusTenants)]
-	if at, confirmed := s.client.ConfirmedAt(); confirmed {
+	if at, confirmed := s.controlClient.ConfirmedAt(); confirmed {
 		status.Confirmed = true
 		status.StaleMillis = (s.clock.Elapsed() - at).Milliseconds()
 	}
@@ -363,11 +363,11 @@
 		s.gate.SetRollouts(state.Orders.AllRollouts())
 	}
 	s.setColdBounds(table)
-	if s.registry != nil {
-		s.registry.Observe(state.Endpoints)
+	if s.backendRegistry != nil {
+		s.backendRegistry.Observe(state.Endpoints)
 	}
-	previousVersion := s.handler.Version()
-	s.handler.SetTable(table)
+	previousVersion := s.forwarder.Version()
+	s.forwarder.SetTable(table)
 	s.applyRollouts(state.Orders)
 	if table.Version != previousVersion {
 		s.logger.Log("event", "version_in_force", "version", table.Version, "revision", table.Revision)
--- a/pkg/proxy/quotas.go
+++ b/pkg/proxy/quotas.go
@@ -6,7 +6,8 @@
 	"bramblelift/pkg/quota"
 )
 
-// applyQuotaShares applies this node's shares of tenants' limits, which it requested at requestedAt.
+// applyQuotaShares applies this node's shares of tenants' limits, as computed by the control plane.
+// requestedAt is the reading of the node's clock when it requested them.
 func (s *Server) applyQuotaShares(requestedAt time.Duration, shares quota.Shares) {
 	s.quotas.Hear(s.clock.Elapsed(), requestedAt, shares)
 }
--- a/pkg/proxy/rollout.go
+++ b/pkg/proxy/rollout.go
@@ -9,15 +9,15 @@
 // applyRollouts stores the new orders, logs each changed rollout step and reports it: the control plane waits
 // until all nodes confirm a step.
 func (s *Server) applyRollouts(table *orders.Table) {
-	before := s.orders.Swap(table)
-	if table == nil || table == before {
+	oldTable := s.orders.Swap(table)
+	if table == nil || table == oldTable {
 		return
 	}
 	for _, current := range table.Rollouts {
-		previous, _ := before.RolloutOf(current.Service)
+		previous, _ := oldTable.RolloutOf(current.Service)
 		if previous.Number != current.Number || previous.Phase != current.Phase || previous.Share != current.Share {
 			s.logRollout(current)
-			s.client.PingSoon()
+			s.controlClient.PingSoon()
 		}
 	}
 }
