--- a/pkg/explain/explain.go
+++ b/pkg/explain/explain.go
@@ -163,7 +163,7 @@
 	return found
 }
 
-// stepMeanings explains each value of step= of a rejection to operators.
+// stepMeanings explains values of step= of a rejection to operators; other steps are shown by name.
 var stepMeanings = map[string]string{
 	"configuration":          "the node held no configuration yet: see its subscribed and version_in_force",
 	"route":                  "the version on the line has no such route",
--- a/pkg/logging/logging.go
+++ b/pkg/logging/logging.go
@@ -57,7 +57,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if second := l.now().Unix(); second != l.currentSecond {
-		l.logSuppressed()
+		l.logSuppressedLines()
 		l.currentSecond = second
 	}
 	kind := eventKind(keyvals)
@@ -68,9 +68,9 @@
 	return l.output.Log(keyvals...)
 }
 
-// logSuppressed reports how many lines were suppressed in the last second, and how many were
+// logSuppressedLines logs how many lines were suppressed in the last second, and how many were
 // dropped since the last report. The caller holds l.mu.
-func (l *Logger) logSuppressed() {
+func (l *Logger) logSuppressedLines() {
 	for kind, count := range l.counts {
 		if count > maxLinesPerSecond {
 			_ = l.output.Log(eventKey, "lines_left_out", "kind", kind, "lines", count-maxLinesPerSecond)
@@ -93,7 +93,7 @@
 // Close reports suppressed lines and waits up to closeTimeout until queued lines are written.
 func (l *Logger) Close() {
 	l.mu.Lock()
-	l.logSuppressed()
+	l.logSuppressedLines()
 	l.mu.Unlock()
 	l.writer.close()
 }
--- a/pkg/settings/settings.go
+++ b/pkg/settings/settings.go
@@ -138,7 +138,8 @@
 	PlatformInterval bundle.Duration `toml:"platform_interval"`
 	// SourceURL is where the replica fetches bundles that operators create by name; empty for
 	// none.
-	SourceURL         string          `toml:"source_url"`
+	SourceURL string `toml:"source_url"`
+	// ElectionTimeout and HeartbeatInterval are those of Raft.
 	ElectionTimeout   bundle.Duration `toml:"election_timeout"`
 	HeartbeatInterval bundle.Duration `toml:"heartbeat_interval"`
 	// Rollouts bounds the exposure of new versions of a service.
@@ -197,6 +198,8 @@
 
 // Timing holds the intervals and timeouts of a subscription to a relay or control replica.
 type Timing struct {
+	// PingInterval is the interval between pings to the server; SilenceTimeout is how long the
+	// server may send nothing before the connection is closed.
 	PingInterval   bundle.Duration `toml:"ping_interval"`
 	SilenceTimeout bundle.Duration `toml:"silence_timeout"`
 	// StaleLimit is how old a server's last confirmed state may be before the subscriber
