--- a/pkg/quota/allocator.go
+++ b/pkg/quota/allocator.go
@@ -10,9 +10,11 @@
 type Policy struct {
 	// Window is the length of the sliding window in which calls are counted. No window may contain more than
 	// (rate x window + burst) x (1 + Overage) + Slack admitted calls.
-	Window  time.Duration
+	Window time.Duration
+	// Overage is the tolerance that the tests check; the allocator doesn't depend on it.
 	Overage float64
-	Slack   float64
+	// Slack is a number of calls, of which the allocator uses slackFraction.
+	Slack float64
 }
 
 const (
@@ -89,16 +91,16 @@
 		return Shares{}, false
 	}
 	maps.DeleteFunc(a.sums, func(_ string, last latestSum) bool { return now-last.receivedAt > silentRetention })
-	var live []Sum
+	var connected []Sum
 	var silent []latestSum
 	for _, last := range a.sums {
 		if now-last.receivedAt > peerTimeout || a.hasNoLeader(now, last) {
 			silent = append(silent, last)
 			continue
 		}
-		live = append(live, last.sum)
+		connected = append(connected, last.sum)
 	}
-	all := a.combineAll(now, live)
+	all := a.combineAll(now, connected)
 	if all.nodes == 0 {
 		return Shares{}, false
 	}
@@ -136,18 +138,18 @@
 
 // Uses returns the combined use of all connected replicas, by tenant.
 func (a *Allocator) Uses(now time.Duration) map[string]Use {
-	var live []Sum
+	var connected []Sum
 	for _, last := range a.sums {
 		if now-last.receivedAt <= peerTimeout {
-			live = append(live, last.sum)
+			connected = append(connected, last.sum)
 		}
 	}
-	return a.combineAll(now, live).uses
+	return a.combineAll(now, connected).uses
 }
 
 // combineAll combines the given sums with those from before replicas' restarts.
-func (a *Allocator) combineAll(now time.Duration, live []Sum) combined {
-	return combine(append(live, a.sumsBeforeRestart(now, live)...), a.policy.Window)
+func (a *Allocator) combineAll(now time.Duration, connected []Sum) combined {
+	return combine(append(connected, a.sumsBeforeRestart(now, connected)...), a.policy.Window)
 }
 
 // Kept returns how many ended process runs, and how many sums from before replicas' restarts, count in the
--- a/pkg/quota/doc.go
+++ b/pkg/quota/doc.go
@@ -1,12 +1,15 @@
 // Package quota enforces limits on tenants' calls across all nodes without a remote request per call.
 //
-// Each node counts the calls of its tenants (Limiter) and reports them with its pings. A replica sums the
-// reports of its subscribers (Replica), and the leader of the control plane combines the sums of all replicas
-// (Allocator). The resulting shares go back the same way. Nodes only count the calls of a tenant well below
-// its limit. A tenant near its limit is limited: each node admits calls at its share of a rate, in proportion
-// to its recent demand. A replica without a leader continues with the part of each limit that its subscribers
-// held, and a node without a replica with its own part. All parts add up to at most the limit, so it also
-// holds during a network partition.
+// Each node counts the calls of its tenants (Limiter) and reports them with its pings, the periodic requests by
+// which it stays connected to the control plane. The control plane consists of replicas, one of which is the
+// leader. A replica sums the reports of its subscribers (Replica), which are the nodes and relays connected to
+// it; a relay connects many nodes to a replica and reports for all of them. The leader combines the sums of all
+// replicas (Allocator). The resulting shares go back the same way.
+//
+// Nodes only count the calls of a tenant well below its limit. A tenant near its limit is limited: each node
+// admits calls at its share of a rate, in proportion to its recent demand. A replica without a leader continues
+// with the part of each limit that its subscribers held, and a node without a replica with its own part. All
+// parts add up to at most the limit, so it also holds during a network partition.
 //
 // A restarted node doesn't know which calls it admitted before, although they are still within the window.
 // Each run of its process therefore has a Life with an ID of its own. Replicas report departed process runs
@@ -36,8 +39,9 @@
 	// Used is the number of calls admitted in the last window, Leaving how many of them leave it in the next
 	// second.
 	Used, Leaving float32
-	// Parts divides Used into equal intervals of the window, oldest first. Only nodes send it; it determines
-	// when the calls of an ended process run leave the window.
+	// Parts are the call counts of consecutive equal intervals of the window, oldest first. They determine when
+	// the calls of an ended process run leave the window. Set in nodes' own reports and in departures; empty in
+	// combined uses.
 	Parts []float32
 }
 
@@ -69,7 +73,7 @@
 
 // Sum combines the reports of a replica's subscribers.
 type Sum struct {
-	// Replica is the sender's name. Sequence counts its sums since its start.
+	// Replica is the sender's name. Sequence numbers its sums, from 1 after each start.
 	Replica  string
 	Sequence uint64
 	// Nodes is the number of nodes included. Unseen is the unknown part of their windows, in whole windows of
--- a/pkg/quota/limiter.go
+++ b/pkg/quota/limiter.go
@@ -15,7 +15,7 @@
 	surgeLease = 600 * time.Millisecond
 	// evenFraction of a rate is spread evenly, so that a node without recent calls can admit a first one.
 	evenFraction = 0.1
-	// maxTokenTime bounds the saved tokens to the node's rate for this time, at least one token, so that short
+	// maxTokenTime bounds the saved tokens to those earned in this time, but at least one token, so that short
 	// bursts pass.
 	maxTokenTime = 300 * time.Millisecond
 	// initialTokens is the number of calls that a node admits for a limited tenant without a share.
@@ -23,8 +23,8 @@
 	// minRetryAfter and maxRetryAfter bound the retry delay of rejected callers.
 	minRetryAfter = 50 * time.Millisecond
 	maxRetryAfter = 2 * time.Second
-	// A surge is reported immediately: surgeCalls and surgeFraction of the window's capacity beyond the
-	// expected calls. This bounds the unreported calls by count.
+	// A node reports a surge immediately, once its calls since the last report exceed the expected ones by
+	// surgeCalls and by surgeFraction of the calls allowed in a window. This bounds the unreported calls.
 	surgeCalls    = 5
 	surgeFraction = 0.02
 )
@@ -68,7 +68,8 @@
 	// tokens is the number of calls that may be admitted while limited, as of tokensAt.
 	tokens   float64
 	tokensAt time.Duration
-	// scheduledRetries estimates how many rejected callers are due to retry before the next one.
+	// scheduledRetries estimates how many rejected callers were told to retry before the caller that is
+	// rejected next.
 	scheduledRetries float64
 	// callsSinceReport counts calls after the last report at reportedAt.
 	callsSinceReport float64
@@ -299,7 +300,7 @@
 	}
 }
 
-// Totals counts calls admitted and rejected for tenants with a limit since the node started.
+// Totals counts the calls of tenants with a limit that were admitted and rejected since the node started.
 type Totals struct {
 	Admitted, Refused uint64
 	// Limited is the number of tenants that are limited at present.
--- a/pkg/quota/limits_test.go
+++ b/pkg/quota/limits_test.go
@@ -20,36 +20,36 @@
 	sc := scenario{nodes: 63, replicas: 3, tenants: 24, perSecond: 200 + 400*rng.Float64(), length: 24 * time.Second}
 	at := time.Duration(6000+10*rng.Intn(600)) * time.Millisecond
 	during := span{at, at + 5*time.Second}
-	one := flood{span: span{at, at + 6*time.Second}, tenant: rng.Intn(sc.tenants), times: 3 + 5*rng.Float64()}
+	singleFlood := flood{span: span{at, at + 6*time.Second}, tenant: rng.Intn(sc.tenants), factor: 3 + 5*rng.Float64()}
 	switch fault {
 	case "flood":
-		sc.floods = []flood{one}
+		sc.floods = []flood{singleFlood}
 	case "floods":
-		sc.floods = []flood{{one.span, 0, 6.9}, {one.span, 1 + rng.Intn(4), 6.3}, {one.span, 5 + rng.Intn(15), 5.6}}
+		sc.floods = []flood{{singleFlood.span, 0, 6.9}, {singleFlood.span, 1 + rng.Intn(4), 6.3}, {singleFlood.span, 5 + rng.Intn(15), 5.6}}
 	case "cut":
 		sc.partition = during
 	case "cut and flood":
-		sc.partition, sc.floods = during, []flood{one}
+		sc.partition, sc.floods = during, []flood{singleFlood}
 	case "leader lost":
 		sc.leaderLost = at
 	case "leader lost in a flood":
-		sc.leaderLost, sc.floods = at+time.Duration(rng.Intn(100))*10*time.Millisecond, []flood{one}
+		sc.leaderLost, sc.floods = at+time.Duration(rng.Intn(100))*10*time.Millisecond, []flood{singleFlood}
 	case "power lost":
 		sc.powerLost = span{at, at + time.Second}
 	case "power lost in a flood":
-		sc.powerLost, sc.floods = span{at + 3*time.Second, at + 4*time.Second}, []flood{one}
+		sc.powerLost, sc.floods = span{at + 3*time.Second, at + 4*time.Second}, []flood{singleFlood}
 	case "lowered":
 		sc.loweredAt, sc.loweredTo = at, 0.1+0.3*rng.Float64()
 	case "moving":
 		sc.moving = true
 	case "moving and flood":
-		sc.moving, sc.floods = true, []flood{one}
+		sc.moving, sc.floods = true, []flood{singleFlood}
 	case "restarts":
 		sc.restarts = true
 	case "restarts and flood":
-		sc.restarts, sc.floods = true, []flood{one}
+		sc.restarts, sc.floods = true, []flood{singleFlood}
 	case "pings late":
-		sc.pingsLate, sc.floods = 0.3, []flood{one}
+		sc.latePingFraction, sc.floods = 0.3, []flood{singleFlood}
 	}
 	return fault, sc
 }
@@ -62,11 +62,12 @@
 }
 
 type result struct {
-	runs, expected, missing, over int
-	full                          float64
+	runs, expected, missing, tenantsOverLimit int
+	// maxWindowRatio is the largest ratio of the calls in a window to the allowed number.
+	maxWindowRatio float64
 }
 
-func (res *results) note(seed int64, fault string, sim *simulation) {
+func (res *results) record(seed int64, fault string, sim *simulation) {
 	res.mu.Lock()
 	defer res.mu.Unlock()
 	r := res.byFault[fault]
@@ -76,14 +77,14 @@
 	}
 	r.runs++
 	for _, tr := range sim.traffic {
-		over, full := tr.worstWindow()
+		excess, maxRatio := tr.worstWindow()
 		missing, expected := tr.missing()
 		r.expected += expected
 		r.missing += missing
-		r.full = max(r.full, full)
-		if over > 0 {
-			r.over++
-			res.violations = append(res.violations, fmt.Sprintf("seed %d %s: %s (rate %.0f) has %.0f calls too many in a window", seed, fault, tr.name, tr.limit.Rate, over))
+		r.maxWindowRatio = max(r.maxWindowRatio, maxRatio)
+		if excess > 0 {
+			r.tenantsOverLimit++
+			res.violations = append(res.violations, fmt.Sprintf("seed %d %s: %s (rate %.0f) has %.0f calls too many in a window", seed, fault, tr.name, tr.limit.Rate, excess))
 		}
 	}
 }
@@ -105,7 +106,7 @@
 				fault, sc := scenarioOf(seed)
 				sim := newSimulation(seed, sc)
 				sim.run()
-				res.note(seed, fault, sim)
+				res.record(seed, fault, sim)
 			}
 		})
 	}
@@ -133,7 +134,7 @@
 			t.Errorf("%s: %.2f %% of the expected calls were not admitted", fault, 100*share)
 		}
 		t.Logf("%-24s %3d runs, fullest window %.2f of the allowed number, %5d of %7d expected calls were not admitted (%.3f %%), windows over the limit for %d tenants",
-			fault, r.runs, r.full, r.missing, r.expected, 100*float64(r.missing)/float64(r.expected), r.over)
+			fault, r.runs, r.maxWindowRatio, r.missing, r.expected, 100*float64(r.missing)/float64(r.expected), r.tenantsOverLimit)
 	}
 	for _, violation := range res.violations {
 		t.Error(violation)
@@ -165,8 +166,8 @@
 			floods: []flood{{span{at, at + 3*time.Second}, 0, 8}, {span{at + 7*time.Second, at + 10*time.Second}, 0, 8}},
 		})
 		sim.run()
-		if over, full := sim.traffic[0].worstWindow(); over > 0 {
-			t.Errorf("seed %d: %.0f calls too many in a window, %.2f of the allowed number", seed, over, full)
+		if excess, maxRatio := sim.traffic[0].worstWindow(); excess > 0 {
+			t.Errorf("seed %d: %.0f calls too many in a window, %.2f of the allowed number", seed, excess, maxRatio)
 		}
 	}
 }
--- a/pkg/quota/meter.go
+++ b/pkg/quota/meter.go
@@ -14,7 +14,7 @@
 	// window.
 	reportedBuckets = 5
 	// rateHalfLife is the half-life of a call in the rate: short enough to show a flood in the next report,
-	// long compared to the report interval.
+	// longer than the report interval.
 	rateHalfLife = 500 * time.Millisecond
 	// minRateInterval is the shortest interval over which a rate is computed, so that a first call doesn't
 	// look like a flood.
--- a/pkg/quota/replica.go
+++ b/pkg/quota/replica.go
@@ -50,7 +50,7 @@
 func (r *Replica) Take(now time.Duration, node string, report Report) (Shares, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.reports.take(now, node, report)
+	r.reports.record(now, node, report)
 	if !r.hasShares || now-r.sharesAt > shareLease {
 		return Shares{}, false
 	}
@@ -64,7 +64,7 @@
 func (r *Replica) Leave(now time.Duration, node string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.reports.leave(now, node)
+	r.reports.recordDeparture(now, node)
 }
 
 // Sum returns the next sum to send to the leader.
--- a/pkg/quota/replica_restart.go
+++ b/pkg/quota/replica_restart.go
@@ -41,12 +41,13 @@
 	return rate * float32(reportInterval.Seconds())
 }
 
-// sumsBeforeRestart returns the stored sums, reduced to the process runs that have not arrived in live sums.
-func (a *Allocator) sumsBeforeRestart(now time.Duration, live []Sum) []Sum {
+// sumsBeforeRestart returns the stored sums, reduced to the process runs that have not arrived at connected
+// replicas.
+func (a *Allocator) sumsBeforeRestart(now time.Duration, connected []Sum) []Sum {
 	a.beforeRestart = slices.DeleteFunc(a.beforeRestart, func(s sumBeforeRestart) bool { return now-s.receivedAt > a.policy.Window })
 	var remaining []Sum
 	for _, old := range a.beforeRestart {
-		remaining = append(remaining, old.remaining(now, arrivedLives(live)))
+		remaining = append(remaining, old.remaining(now, arrivedLives(connected)))
 	}
 	return remaining
 }
--- a/pkg/quota/restarts_test.go
+++ b/pkg/quota/restarts_test.go
@@ -51,12 +51,12 @@
 			tooFull, fullest, expected, missing := 0, 0.0, 0, 0
 			for seed := range int64(seedsPerScenario) {
 				sim := runRestartScenario(seed, base, every)
-				over, full := sim.traffic[0].worstWindow()
-				less, all := sim.traffic[0].missing()
-				fullest, expected, missing = max(fullest, full), expected+all, missing+less
-				if over > 0 {
+				excess, maxRatio := sim.traffic[0].worstWindow()
+				shortfall, admitted := sim.traffic[0].missing()
+				fullest, expected, missing = max(fullest, maxRatio), expected+admitted, missing+shortfall
+				if excess > 0 {
 					tooFull++
-					t.Logf("seed %d: %.0f calls too many in a window, %.2f of the allowed number", seed, over, full)
+					t.Logf("seed %d: %.0f calls too many in a window, %.2f of the allowed number", seed, excess, maxRatio)
 				}
 			}
 			t.Logf("fullest window %.2f of the allowed number, %d of %d expected calls were not admitted (%.1f %%)",
--- a/pkg/quota/simulation_test.go
+++ b/pkg/quota/simulation_test.go
@@ -11,7 +11,7 @@
 
 const (
 	simStep        = 10 * time.Millisecond
-	limitApplyTime = 2 * time.Second // limit on the time until a lowered limit holds
+	limitApplyTime = 2 * time.Second // a lowered limit must hold after this time
 )
 
 var testPolicy = Policy{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
@@ -39,13 +39,13 @@
 	restartUnnoticed         bool          // no replica notices the end of a process run
 	restartAtOtherReplica    bool          // restarted nodes connect to a random replica
 	restartReplicas          bool          // the replicas of restarted nodes restart too
-	pingsLate                float64       // fraction of pings delayed by half a second
+	latePingFraction         float64       // pings delayed by half a second
 }
 
 type flood struct {
 	span
 	tenant int
-	times  float64
+	factor float64 // multiplies the tenant's call rate
 }
 
 // tenantTraffic is the simulated load of one tenant and the calls admitted for it.
@@ -53,8 +53,8 @@
 	name         string
 	rate         float64 // calls per second
 	limit        Limit
-	bucketLevel  float64 // tokens in an ideal bucket that knows all calls
-	at           time.Duration
+	bucketLevel  float64       // tokens in an ideal bucket that knows all calls
+	at           time.Duration // time of the last refill of the bucket
 	servingNodes []int
 	admitted     []time.Duration
 	// expected and served are the calls that the ideal bucket admits and those admitted by the nodes, by
@@ -66,7 +66,7 @@
 type simNode struct {
 	limiter    *Limiter
 	started    time.Duration
-	next       time.Duration
+	nextPing   time.Duration
 	replica    int
 	reportSoon bool
 	// lastArrival is when the last ping arrives; pings keep their order.
@@ -75,10 +75,12 @@
 	starts uint64
 }
 
+// simReplica is a replica's process; it is replaced when the replica restarts.
 type simReplica struct {
 	*Replica
 }
 
+// message is a delivery scheduled for a later time.
 type message struct {
 	run func()
 }
@@ -91,8 +93,8 @@
 	nodes    []*simNode
 	replicas []*simReplica
 	leader   *Allocator
-	leaderAt time.Duration
-	inbox    map[time.Duration][]message
+	leaderAt time.Duration               // when the next leader is elected
+	inbox    map[time.Duration][]message // by delivery time
 }
 
 func newSimulation(seed int64, sc scenario) *simulation {
@@ -121,7 +123,7 @@
 
 func (sim *simulation) startNode(i int, at time.Duration) {
 	n := sim.nodes[i]
-	n.started, n.next, n.reportSoon = at, max(0, at)+sim.randomDelay(0, 400), false
+	n.started, n.nextPing, n.reportSoon = at, max(0, at)+sim.randomDelay(0, 400), false
 	n.starts++
 	n.limiter = NewLimiter(Config{Window: testPolicy.Window, Life: n.starts, OnSurge: func() { n.reportSoon = true }})
 	n.limiter.SetLimits(sim.now-at, sim.limits())
@@ -211,7 +213,7 @@
 		sim.startNode(i, sim.now)
 	}
 	if sim.restartOneOfThree > 0 && sim.now%sim.restartOneOfThree == 0 {
-		sim.restartSome()
+		sim.restartServingNodes()
 	}
 	if sim.moving && sim.now%(3*time.Second) == 0 {
 		sim.moveClients()
@@ -227,8 +229,8 @@
 	}
 }
 
-// restartSome restarts one or all of the three nodes that serve all clients.
-func (sim *simulation) restartSome() {
+// restartServingNodes restarts one or all of the three nodes that serve all clients.
+func (sim *simulation) restartServingNodes() {
 	nodes := sim.traffic[0].servingNodes[:3]
 	if !sim.restartAllThree {
 		one := sim.rng.Intn(3)
@@ -258,7 +260,7 @@
 		rate := tr.rate
 		for _, flood := range sim.floods {
 			if flood.tenant == i && flood.holds(sim.now) {
-				rate *= flood.times
+				rate *= flood.factor
 			}
 		}
 		for sim.rng.Float64() < rate*simStep.Seconds() {
@@ -296,8 +298,8 @@
 	}
 }
 
-// missing returns how many calls the nodes admitted less than the ideal bucket, summed over consecutive
-// windows.
+// missing returns how many fewer calls the nodes admitted than the ideal bucket, summed over the windows with a
+// shortfall, and how many the bucket admitted.
 func (tr *tenantTraffic) missing() (missing, expected int) {
 	for window, n := range tr.expected {
 		expected += n
@@ -308,17 +310,17 @@
 
 func (sim *simulation) ping(i int) {
 	n := sim.nodes[i]
-	if sim.now < n.next && !n.reportSoon {
+	if sim.now < n.nextPing && !n.reportSoon {
 		return
 	}
-	if n.reportSoon && sim.now < n.next-350*time.Millisecond {
+	if n.reportSoon && sim.now < n.nextPing-350*time.Millisecond {
 		return // at least 50 ms after the last ping
 	}
-	n.next, n.reportSoon = sim.now+sim.randomDelay(300, 500), false
+	n.nextPing, n.reportSoon = sim.now+sim.randomDelay(300, 500), false
 	limiter, sent := n.limiter, sim.now
 	report := limiter.Report(sim.now - n.started)
 	late := time.Duration(0)
-	if sim.rng.Float64() < sim.pingsLate {
+	if sim.rng.Float64() < sim.latePingFraction {
 		late = 500 * time.Millisecond
 	}
 	n.lastArrival = max(n.lastArrival, sim.now+simStep+late+sim.randomDelay(1, 20))
@@ -381,7 +383,7 @@
 }
 
 // worstWindow returns the largest excess of a window over the allowed calls and the largest ratio to them.
-func (tr *tenantTraffic) worstWindow() (over float64, full float64) {
+func (tr *tenantTraffic) worstWindow() (excess float64, maxRatio float64) {
 	from := tr.admitted
 	if tr.loweredAt > 0 {
 		i, _ := slices.BinarySearchFunc(from, tr.loweredAt+limitApplyTime, cmp.Compare)
@@ -394,7 +396,7 @@
 			first++
 		}
 		n := float64(i - first + 1)
-		over, full = max(over, n-allowed), max(full, n/allowed)
+		excess, maxRatio = max(excess, n-allowed), max(maxRatio, n/allowed)
 	}
-	return over, full
+	return excess, maxRatio
 }
--- a/pkg/quota/subscribers.go
+++ b/pkg/quota/subscribers.go
@@ -19,8 +19,8 @@
 	unreported func(use Use, gap time.Duration) float32
 }
 
-// take stores a node's newest report, and the calls of its previous process run if the node has restarted.
-func (s *subscriberReports) take(now time.Duration, node string, report Report) {
+// record stores a node's newest report, and the calls of its previous process run if the node has restarted.
+func (s *subscriberReports) record(now time.Duration, node string, report Report) {
 	if s.reports == nil {
 		s.reports = map[string]latestReport{}
 	}
@@ -38,8 +38,8 @@
 	s.reports[node] = next
 }
 
-// leave records that a node has ended or moved elsewhere.
-func (s *subscriberReports) leave(now time.Duration, node string) {
+// recordDeparture records that a node has ended or moved elsewhere.
+func (s *subscriberReports) recordDeparture(now time.Duration, node string) {
 	if latest, found := s.reports[node]; found {
 		delete(s.reports, node)
 		s.keepDeparted(node, latest, now)
@@ -150,7 +150,7 @@
 const evenlySpreadCalls = 10
 
 // fractionsOf returns the parts of the nodes in s, in proportion to the calls in the last window. The parts of
-// all sums add up to one.
+// all sums add up to at most one.
 func (s Sum) fractionsOf(nodes int, all map[string]Use) fractions {
 	f := fractions{other: float64(s.Nodes) / float64(max(1, nodes)), byTenant: make(map[string]float64, len(all))}
 	used := make(map[string]float32, len(s.Uses))
