--- a/pkg/quarantine/evidence.go
+++ b/pkg/quarantine/evidence.go
@@ -2,8 +2,9 @@
 
 import "slices"
 
-// Way identifies the caller of a request and the service that it goes to. A request may crash the back ends of
-// only one service, such as a new version's, or depend on the caller's credentials.
+// Way identifies the caller of a request and the service that it goes to. A response counts only for its way: a
+// request may crash the back ends of only one service, such as a new version's, or depend on the caller's
+// credentials.
 type Way struct {
 	Caller  string `json:"caller,omitempty"`
 	Service string `json:"service,omitempty"`
@@ -17,7 +18,7 @@
 	// Watched is set if the gate that admitted the request knew it as a suspect. Nodes of earlier releases
 	// don't send it.
 	Watched bool `json:"watched,omitempty"`
-	// Void is set if the crash no longer counts because a later response arrived on the same way.
+	// Void is set if the crash no longer counts: a response arrived later on the same way, or a trial began.
 	Void bool `json:"void,omitempty"`
 }
 
--- a/pkg/quarantine/filter.go
+++ b/pkg/quarantine/filter.go
@@ -66,8 +66,8 @@
 	return true
 }
 
-// Requests returns the standing of all suspects, regardless of the ways on which quarantined ones were
-// answered.
+// Requests returns the standing of all suspects. It ignores the ways that are exempt from a quarantine because
+// of a response.
 func (f *Filter) Requests() map[Fingerprint]Standing {
 	requests := map[Fingerprint]Standing{}
 	if index := f.index.Load(); index != nil {
@@ -89,7 +89,8 @@
 	return count
 }
 
-// standing returns the standing on ways without a response.
+// standing returns the standing for callers and services that have had no response to the request since its
+// last crash.
 func (e Entry) standing() Standing {
 	if e.Quarantined {
 		return Quarantined
@@ -109,7 +110,7 @@
 // Empty reports whether there are no suspects.
 func (f *Filter) Empty() bool { return f == nil || f.index.Load() == nil }
 
-// Look classifies a request by its target and body. body is the buffered part of a long one.
+// Look returns the standing of a request on a way. body may be only the buffered beginning.
 func (f *Filter) Look(r *http.Request, body []byte, way Way) Match {
 	if f == nil {
 		return Match{}
--- a/pkg/quarantine/fingerprint.go
+++ b/pkg/quarantine/fingerprint.go
@@ -21,7 +21,7 @@
 	digestBytes      = 12
 )
 
-// Of returns the fingerprint of a request. body is the buffered part of a long one.
+// Of returns the fingerprint of a request. body may be only the buffered beginning.
 func Of(r *http.Request, body []byte) Fingerprint {
 	target := targetOf(r)
 	digest := sha256.New()
--- a/pkg/quarantine/judge.go
+++ b/pkg/quarantine/judge.go
@@ -15,9 +15,9 @@
 	maxTerm   = 4 * time.Hour
 	// forgetTime is how long a suspect outside quarantine is kept after its last change.
 	forgetTime = 10 * time.Minute
-	// certainCrashes impose a quarantine even while the service has no back end that could respond, because
-	// each new one crashes soon after it joins.
-	certainCrashes = 5
+	// conclusiveCrashes is the number of crashes from which a suspect is quarantined even if no back end could
+	// have responded: every new back end may crash soon after it joins.
+	conclusiveCrashes = 5
 	// answerableRecheck is the interval of checks whether a service has a back end again.
 	answerableRecheck = 100 * time.Millisecond
 	// idleInterval is the interval of checks without pending decisions; it exceeds all terms.
@@ -42,8 +42,8 @@
 	observed   map[Fingerprint]observation
 }
 
-// observation records the state of a suspect and since when it has been so: published to nodes, crashed while
-// watched without a quarantined request that explains it, quarantined or not, unchanged.
+// observation records the state of a suspect and since when it has been so: published is set if nodes receive
+// it, crashedWatched if it crashed back ends while watched and no quarantined request explains that.
 type observation struct {
 	published, crashedWatched, quarantined                           bool
 	changed                                                          uint64
@@ -140,11 +140,11 @@
 		return Lift, o.quarantineChangedAt + s.term()
 	case s.crashCount() < quarantineCrashes || !o.published || !o.crashedWatched:
 		return Forget, o.lastChangeAt + forgetTime
-	case s.crashCount() < certainCrashes && !o.answerable:
+	case s.crashCount() < conclusiveCrashes && !o.answerable:
 		return Impose, now + answerableRecheck
 	}
 	due := max(o.publishedAt, o.crashedWatchedAt) + responseWait
-	if s.crashCount() < certainCrashes {
+	if s.crashCount() < conclusiveCrashes {
 		due = max(due, o.answerableSince+responseWait)
 	}
 	if o.tied {
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -33,7 +33,7 @@
 	Quarantined bool  `json:"quarantined,omitempty"`
 	// Terms counts quarantines that were lifted at the end of their term.
 	Terms int `json:"terms,omitempty"`
-	// Changed is the table's Changes at the suspect's last change.
+	// Changed is the table's change count when the suspect last changed.
 	Changed uint64 `json:"changed"`
 }
 
@@ -48,28 +48,29 @@
 	return count
 }
 
-// crashedWhileWatched reports whether a crash that counts came from an attempt admitted while the request was
-// watched.
+// crashedWhileWatched reports whether a crash that is not void came from an attempt admitted while the request
+// was watched.
 func (s *Suspect) crashedWhileWatched() bool {
 	return slices.ContainsFunc(s.Ends, func(e End) bool { return e.Watched && !e.Void })
 }
 
-// crashesWithin reports whether other was in flight at all crashes of s that count.
+// crashesWithin reports whether other was in flight at all crashes of s that are not void.
 func (s *Suspect) crashesWithin(other *Suspect) bool {
-	return !slices.ContainsFunc(s.Ends, func(e End) bool { return !e.Void && !other.crashedAt(e.Instance) })
+	return !slices.ContainsFunc(s.Ends, func(e End) bool { return !e.Void && !other.inFlightAtCrashOf(e.Instance) })
 }
 
-// crashedAt reports whether a crash of the instance counts.
-func (s *Suspect) crashedAt(instance string) bool {
+// inFlightAtCrashOf reports whether the request was in flight at a crash of the instance that is not void.
+func (s *Suspect) inFlightAtCrashOf(instance string) bool {
 	return slices.ContainsFunc(s.Ends, func(e End) bool { return !e.Void && e.Instance == instance })
 }
 
-// sameCrashes reports whether two suspects were in flight at the same crashes, as far as these count.
+// sameCrashes reports whether two suspects were in flight at the same crashes, apart from void ones.
 func (s *Suspect) sameCrashes(other *Suspect) bool {
 	return s.Request != other.Request && s.crashesWithin(other) && other.crashesWithin(s)
 }
 
-// Standing returns the standing on ways without a response.
+// Standing returns the standing for callers and services that have had no response to the request since its
+// last crash.
 func (s *Suspect) Standing() Standing {
 	switch {
 	case s.Quarantined:
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -243,7 +243,7 @@
 	is.True(slices.IsSorted(terms))
 }
 
-func TestInnocentSuspectsAreForgotten(t *testing.T) {
+func TestUnchangedSuspectsAreForgotten(t *testing.T) {
 	is := is.New(t)
 	judge := NewJudge()
 	table := apply(nil, watchedCrash("r", "i1", shop))
