--- a/pkg/rollout/budget.go
+++ b/pkg/rollout/budget.go
@@ -44,7 +44,7 @@
 }
 
 // expectedCalls estimates how many calls will reach the service until the deadline at the current rate.
-// The last stage needs them in its budget, since it takes more than a tenth of the calls so far.
+// The last stage sends all calls to the new version, so its budget also counts the calls still expected.
 func (j *Judge) expectedCalls(now time.Time, held Rollout) float64 {
 	left := held.Deadline().Sub(now)
 	if left <= 0 {
@@ -81,7 +81,7 @@
 		next.retireGrants(view)
 	}
 	runs := j.connectedTargetRuns(now, view)
-	if held.Share == canaryShare && now.Sub(time.UnixMilli(held.AtMillis)) < planFor(held.Duration).rampAt() {
+	if held.Share == canaryShare && now.Sub(time.UnixMilli(held.AtMillis)) < planFor(held.Duration).canaryEnd() {
 		runs = slices.DeleteFunc(runs, func(run *processRun) bool { return run.report.Cold })
 	}
 	if len(runs) == 0 {
--- a/pkg/rollout/display.go
+++ b/pkg/rollout/display.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Median returns the median of the counted times, rounded up to the end of its bucket, and zero if there
-// are none.
+// Median returns an estimate of the median of the counted times, zero if there are none. It takes the
+// interpolated position for the end of a bucket, so that the estimate is one bucket (a factor of 1.4) high.
 func (t Times) Median() time.Duration {
 	if t == (Times{}) {
 		return 0
--- a/pkg/rollout/gate.go
+++ b/pkg/rollout/gate.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// LeaseTime is how long a gate acts on its copy of the rollout after the control plane last confirmed it.
-// It covers several lost confirmations and is short enough for a rollback within seconds.
+// LeaseTime is the length of a gate's lease: how long it acts on its copy of the rollout after the control
+// plane last confirmed it. It covers several lost confirmations and is short enough for a rollback within
+// seconds.
 const LeaseTime = 2 * time.Second
 
-// Unlimited is the allowance of a gate without a bound.
+// Unlimited is the Allowance of a gate whose calls are not bounded.
 const Unlimited = math.MaxUint64
 
 // Allowance returns how many calls the gate of a back end of the new version may have admitted in total
@@ -39,10 +40,10 @@
 	Cold      bool
 }
 
-// Admits reports whether the gate admits one more call during a rollout. Until Completed, a gate of the
-// new version needs a grant confirmed within LeaseTime; it rejects canary calls while its back end is
-// cold. A gate of another version closes in the Closing phase, and reopens if its lease expires before
-// Completed, because gates of the new version reject everything then.
+// Admits reports whether the gate admits one more call during a rollout. A gate of the new version needs a
+// grant while Running and a valid lease, confirmed within LeaseTime, until Completed; it rejects canary
+// calls while its back end is cold. While Closing, a gate of another version admits calls only if its
+// lease has expired, because gates of the new version without a lease reject everything.
 func (g Gate) Admits(r Rollout) bool {
 	valid := g.Confirmed <= LeaseTime
 	if g.Version == r.Version {
--- a/pkg/rollout/judge.go
+++ b/pkg/rollout/judge.go
@@ -8,8 +8,8 @@
 
 // Policy bounds how many of a service's calls a bad version may receive.
 type Policy struct {
-	// ExposureShare is the fraction of the calls that reach the service between order and deadline,
-	// ExposureSlack a number of calls allowed in addition.
+	// A bad version may receive the fraction ExposureShare of the calls that reach the service between order
+	// and deadline, plus ExposureSlack calls.
 	ExposureShare float64
 	ExposureSlack uint64
 }
@@ -51,8 +51,8 @@
 	// suspicionTicks is the number of ticks (two seconds) whose mean score rolls a version back when it
 	// reaches suspiciousScore. A single low score does not reset it.
 	suspicionTicks = 8
-	// settleTime is how long a new judge makes no transition and retires no grant; it receives all reports
-	// within a second.
+	// settleTime is how long a new judge advances no stage of an earlier order, completes no rollout and
+	// retires no grant; it receives all reports within a second.
 	settleTime = time.Second
 	// minResponses is how many ended calls of the new version a stage needs, or half of the calls that its
 	// share amounts to if that is less.
@@ -84,15 +84,15 @@
 	// reachedBefore is the committed number of calls that reached the service when this judge was created.
 	reachedBefore uint64
 	runs          map[uint64]*processRun
-	// score is the latest evaluation's, scores those of up to suspicionTicks-1 ticks before it.
+	// score is that of the latest evaluation, scores are those of up to suspicionTicks-1 ticks before it.
 	score  float64
 	scores []float64
 	// startedAt is the time of the first call of Next, lastTick that of the last tick.
 	startedAt, lastTick time.Time
 	// reachedHistory holds reachedCalls at the last ticks.
 	reachedHistory []reachedSample
-	// stage is the share that stageBaseline belongs to: the ended calls of the new version when that stage
-	// began.
+	// stage is the share of the current stage, stageBaseline how many calls of the new version had ended when
+	// the stage began; both are valid if stageKnown is set.
 	stage         int
 	stageBaseline uint64
 	stageKnown    bool
@@ -135,8 +135,8 @@
 	run.update(now, report)
 }
 
-// Next returns the step that follows the held state, and false if there is none. It is called several
-// times a second; a step takes effect once it is committed.
+// Next returns the step that follows held, the latest committed state, and false if there is none. It is
+// called several times a second; a step takes effect once it is committed.
 func (j *Judge) Next(now time.Time, held Rollout, view View) (Rollout, bool) {
 	if j.startedAt.IsZero() {
 		j.startedAt = now
@@ -229,7 +229,7 @@
 		return false
 	}
 	if held.Share == canaryShare {
-		return enough && since >= p.rampAt() && lasted >= minStage && len(j.connectedTargetRuns(now, view)) > 0
+		return enough && since >= p.canaryEnd() && lasted >= minStage && len(j.connectedTargetRuns(now, view)) > 0
 	}
 	if held.Share == Thousandths && lasted < confirmTimeout && !allConfirmed(view) {
 		return false
--- a/pkg/rollout/judge_test.go
+++ b/pkg/rollout/judge_test.go
@@ -9,8 +9,8 @@
 
 // simulate runs a scenario with the first seed.
 func simulate(w scenario) result {
-	if w.zones == nil {
-		w.zones = []float64{0.5, 0.3, 0.2}
+	if w.zoneWeights == nil {
+		w.zoneWeights = []float64{0.5, 0.3, 0.2}
 	}
 	w.coldFactor = 2
 	return newSimulation(1, w).run()
@@ -152,7 +152,7 @@
 	for backends := 1; backends <= 4; backends++ {
 		for _, d := range []defect{{fails: 0.7, route: 0}, {fails: 0.4, route: -1}} {
 			for seed := range int64(10) {
-				w := scenario{duration: 20 * time.Second, rate: 400, old: 8, new: backends, zones: []float64{1}, reportLoss: 0.05, coldFactor: 2, bad: &d}
+				w := scenario{duration: 20 * time.Second, rate: 400, old: 8, new: backends, zoneWeights: []float64{1}, reportLoss: 0.05, coldFactor: 2, bad: &d}
 				r := newSimulation(seed, w).run()
 				if r.phase != RolledBack || r.lateCalls > 0 || float64(r.exposed) > r.allowed {
 					t.Errorf("%d back ends, %+v, seed %d: %v after %v (%s), exposed %d of %.0f, %d calls too late",
--- a/pkg/rollout/order.go
+++ b/pkg/rollout/order.go
@@ -33,7 +33,7 @@
 	Duration time.Duration
 }
 
-// Check returns the error that rejects an order, nil if it may start. Held is the service's newest rollout
+// Check returns the error that rejects an order, nil if it may start. held is the service's newest rollout
 // or nil; known is set if the service is configured or has back ends; present lists the versions of its
 // back ends that are not leaving. The new version's back ends may start before or after the order.
 func Check(order Order, held *Rollout, known bool, present []string) error {
--- a/pkg/rollout/regression_seeds_test.go
+++ b/pkg/rollout/regression_seeds_test.go
@@ -6,12 +6,12 @@
 func checkSeedBounds(t *testing.T, seed int64) {
 	t.Helper()
 	kind, disturbance, w := scenarioOf(seed)
-	sum := &summary{runs: map[string]int{}, expectedEnds: map[string]int{}}
+	sum := &summary{runs: map[string]int{}, endedAsExpected: map[string]int{}}
 	sum.record(seed, kind, disturbance, w, newSimulation(seed, w).run())
 	for _, violation := range sum.violations {
 		t.Log(violation)
 	}
-	if sum.exposureFaults+sum.budgetFaults+sum.lateFaults+sum.phaseFaults > 0 || (kind != goodKind && sum.expectedEnds[kind] == 0) {
+	if sum.exposureFaults+sum.budgetFaults+sum.lateFaults+sum.phaseFaults > 0 || (kind != goodKind && sum.endedAsExpected[kind] == 0) {
 		t.Errorf("seed %d (%s, %s): exposure %d, budget %d, time %d, ends %d", seed, kind, disturbance, sum.exposureFaults, sum.budgetFaults, sum.lateFaults, sum.phaseFaults)
 	}
 }
--- a/pkg/rollout/report.go
+++ b/pkg/rollout/report.go
@@ -47,7 +47,7 @@
 // receives the order and only grow, so a report replaces its predecessor and may be lost.
 type Report struct {
 	Service string
-	// Number identifies the order.
+	// Number is the order number.
 	Number uint64
 	// Version and Instance are the back end's version and ID, Zone is its zone.
 	Version  string
@@ -94,7 +94,7 @@
 	return t.admitted
 }
 
-// End counts the outcome of an admitted call. Cold is set if the back end was cold when the call arrived
+// End counts the outcome of an admitted call. cold is set if the back end was cold when the call arrived
 // or ended; its time is not counted then.
 func (t *Tally) End(route string, outcome Outcome, took time.Duration, cold bool) {
 	if outcome == GivenUp {
--- a/pkg/rollout/rollout.go
+++ b/pkg/rollout/rollout.go
@@ -68,7 +68,7 @@
 type Rollout struct {
 	Service string `json:"service"`
 	Version string `json:"version"`
-	// Number counts the orders of the service.
+	// Number is the order number: it counts the service's orders from 1.
 	Number uint64 `json:"number"`
 	// Step counts the changes since the order. A change is ignored unless it is the successor of the held
 	// step.
--- a/pkg/rollout/schedule.go
+++ b/pkg/rollout/schedule.go
@@ -11,7 +11,7 @@
 var stages = []int{canaryShare, 250, 500, Thousandths}
 
 const (
-	// minStage is the shortest stage: nodes must receive it and calls must end in it.
+	// minStage is the length of the shortest stage: nodes must receive it and calls must end in it.
 	minStage = 500 * time.Millisecond
 	// minPlannedStage and maxStage bound the planned length of a stage, which is the duration divided by
 	// stageDivisor.
@@ -42,8 +42,8 @@
 	}
 }
 
-// rampAt returns the planned end of the canary stage, counted from the order.
-func (p plan) rampAt() time.Duration {
+// canaryEnd returns the planned end of the canary stage, counted from the order.
+func (p plan) canaryEnd() time.Duration {
 	return p.duration - p.reserve - closeTime - time.Duration(len(stages)-1)*p.stage
 }
 
@@ -52,7 +52,7 @@
 	return p.duration - closeTime
 }
 
-// stageTime returns the length of a stage that begins at a time since the order; it is shorter than
+// stageTime returns the length of a stage that began at begun, counted from the order; it is shorter than
 // planned if the rollout is late.
 func (p plan) stageTime(begun time.Duration, share int) time.Duration {
 	remaining := len(stages) - stageOf(share)
--- a/pkg/rollout/series.go
+++ b/pkg/rollout/series.go
@@ -25,8 +25,8 @@
 type series struct {
 	gateRun *processRun
 	current counts
-	// endedAtTick is how many calls had ended when expected failures were last added.
-	endedAtTick uint64
+	// endedAtUpdate is how many calls had ended when expected failures were last added.
+	endedAtUpdate uint64
 	// history is a ring of the counters at the last ticks; oldest is the index of the next write.
 	history []counts
 	oldest  int
@@ -61,11 +61,11 @@
 	return c
 }
 
-// route holds the baselines for one route's times. Positions are in buckets: bucket i spans i to i+1 with
-// its times spread evenly, so that bucket edges matter little.
+// route holds the baselines for one route's times. A position is a time on the histogram's axis, in
+// buckets; the times of bucket i are assumed to be spread evenly from i to i+1.
 type route struct {
 	series []*series
-	// median is the old version's median time.
+	// median is the position of the old version's median time.
 	median float64
 	// slowBy is the distance from its back end's usual time at which a response is slow, serviceTail the
 	// position from which one is slow for the service. Few responses of the old version are either.
@@ -170,8 +170,8 @@
 	return timeBuckets
 }
 
-// minUsualTimes is the fewest times from which a back end's usual time is computed.
-const minUsualTimes = 6
+// minTimesForUsual is the fewest times from which a back end's usual time is computed.
+const minTimesForUsual = 6
 
 // usualQuantile is the quantile of a back end's times that is its usual time. It is low, so that it stays
 // a normal time even if most responses are slow.
@@ -186,7 +186,7 @@
 		d.add(s.current.times, routes[name].median)
 		sum += s.current.times.total()
 	}
-	run.usualKnown = sum >= minUsualTimes
+	run.usualKnown = sum >= minTimesForUsual
 	if run.usualKnown {
 		run.usualOffset = d.quantile(usualQuantile)
 	}
@@ -318,12 +318,12 @@
 	return sum
 }
 
-// addExpectedFailures adds the failures expected at the given rate for the calls that ended since the last
-// call.
+// addExpectedFailures adds the failures expected at the given rate among the calls that ended since the
+// previous update.
 func (run *processRun) addExpectedFailures(rate float64) {
 	for _, s := range run.routes {
 		ended := s.current.answered + s.current.failed
-		s.current.expected += rate * float64(ended-min(ended, s.endedAtTick))
-		s.endedAtTick = ended
+		s.current.expected += rate * float64(ended-min(ended, s.endedAtUpdate))
+		s.endedAtUpdate = ended
 	}
 }
--- a/pkg/rollout/simulated_rollouts_test.go
+++ b/pkg/rollout/simulated_rollouts_test.go
@@ -31,11 +31,11 @@
 	kind := versionKinds[int(seed)%len(versionKinds)]
 	disturbance := disturbances[int(seed)/len(versionKinds)%len(disturbances)]
 	d := between(rng, 12, 24)
-	w := scenario{duration: seconds(d), rate: between(rng, 300, 900), old: 8 + rng.Intn(8), zones: []float64{0.5, 0.3, 0.2}, reportLoss: 0.05, coldFactor: 2}
+	w := scenario{duration: seconds(d), rate: between(rng, 300, 900), old: 8 + rng.Intn(8), zoneWeights: []float64{0.5, 0.3, 0.2}, reportLoss: 0.05, coldFactor: 2}
 	if rng.Intn(4) == 0 {
-		w.zones = []float64{1}
+		w.zoneWeights = []float64{1}
 	}
-	w.anySpeeds = os.Getenv("ROLLOUT_SPEEDS") == "any"
+	w.independentSpeeds = os.Getenv("ROLLOUT_SPEEDS") == "any"
 	w.new = max(4, w.old-rng.Intn(4))
 	at := between(rng, 0.05, 0.95) * d
 	switch disturbance {
@@ -99,7 +99,7 @@
 // summary collects the results of many seeds.
 type summary struct {
 	mu                                                    sync.Mutex
-	runs, expectedEnds                                    map[string]int
+	runs, endedAsExpected                                 map[string]int
 	exposureFaults, lateFaults, phaseFaults, budgetFaults int
 	violations                                            []string
 }
@@ -121,14 +121,14 @@
 	}
 	if w.bad == nil {
 		if r.phase == Completed && r.endedAt < w.duration {
-			sum.expectedEnds[kind]++
+			sum.endedAsExpected[kind]++
 		} else {
 			violation("%v after %v: %s", r.phase, r.endedAt, r.reason)
 		}
 		return
 	}
 	if r.phase == RolledBack {
-		sum.expectedEnds[kind]++
+		sum.endedAsExpected[kind]++
 	} else {
 		violation("%v after %v: %s; exposed %d of %.0f; %+v", r.phase, r.endedAt, r.reason, r.exposed, r.allowed, *w.bad)
 	}
@@ -150,13 +150,13 @@
 }
 
 // forEachSeed runs seeds in parallel.
-func forEachSeed(seeds int64, play func(seed int64)) {
+func forEachSeed(seeds int64, run func(seed int64)) {
 	next := make(chan int64)
 	var group sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
 		group.Go(func() {
 			for seed := range next {
-				play(seed)
+				run(seed)
 			}
 		})
 	}
@@ -168,7 +168,7 @@
 }
 
 func runAll(seeds int64) *summary {
-	sum := &summary{runs: map[string]int{}, expectedEnds: map[string]int{}}
+	sum := &summary{runs: map[string]int{}, endedAsExpected: map[string]int{}}
 	forEachSeed(seeds, func(seed int64) {
 		kind, disturbance, w := scenarioOf(seed)
 		if only := os.Getenv("ROLLOUT_KIND"); only != "" && only != kind {
@@ -186,13 +186,13 @@
 		t.Log(violation)
 	}
 	for _, kind := range versionKinds {
-		t.Logf("%-18s %3d of %3d ended as expected", kind, sum.expectedEnds[kind], sum.runs[kind])
-		if kind != goodKind && sum.expectedEnds[kind] < sum.runs[kind] {
+		t.Logf("%-18s %3d of %3d ended as expected", kind, sum.endedAsExpected[kind], sum.runs[kind])
+		if kind != goodKind && sum.endedAsExpected[kind] < sum.runs[kind] {
 			t.Errorf("not all rolled back: %s", kind)
 		}
 	}
 	t.Logf("violations: exposure %d, budget %d, time %d, ends %d", sum.exposureFaults, sum.budgetFaults, sum.lateFaults, sum.phaseFaults)
-	if float64(sum.expectedEnds[goodKind]) < 0.99*float64(sum.runs[goodKind]) {
+	if float64(sum.endedAsExpected[goodKind]) < 0.99*float64(sum.runs[goodKind]) {
 		t.Error("too few good versions completed")
 	}
 	if sum.exposureFaults+sum.budgetFaults+sum.lateFaults+sum.phaseFaults > 0 {
@@ -241,7 +241,7 @@
 		_, _, w := scenarioOf(seed*int64(len(versionKinds)) + 1) // fails at once
 		p := planFor(w.duration)
 		rng := rand.New(rand.NewSource(seed))
-		w.bad.from = p.rampAt() + time.Duration(rng.Int63n(int64(w.duration-p.rampAt())))
+		w.bad.from = p.canaryEnd() + time.Duration(rng.Int63n(int64(w.duration-p.canaryEnd())))
 		sim := newSimulation(seed, w)
 		var times phaseTimes
 		times.observe(sim)
--- a/pkg/rollout/simulation_calls_test.go
+++ b/pkg/rollout/simulation_calls_test.go
@@ -45,8 +45,8 @@
 		for p := sim.rng.Float64(); p > routeWeight[c.route]; {
 			c.route++
 		}
-		for p := sim.rng.Float64(); c.zone < len(sim.zones)-1 && p > sim.zones[c.zone]; c.zone++ {
-			p -= sim.zones[c.zone]
+		for p := sim.rng.Float64(); c.zone < len(sim.zoneWeights)-1 && p > sim.zoneWeights[c.zone]; c.zone++ {
+			p -= sim.zoneWeights[c.zone]
 		}
 		if sim.now < sim.duration {
 			sim.reached++
@@ -110,7 +110,7 @@
 		sim.newRate++
 		sim.exposed++
 		share = sim.newRate / max(1, sim.allRate)
-		sim.checkEntry()
+		sim.checkAdmission()
 	} else {
 		share = 1 - sim.newRate/max(1, sim.allRate)
 	}
@@ -143,8 +143,8 @@
 	sim.endingCalls[at] = append(sim.endingCalls[at], c)
 }
 
-// checkEntry counts calls that the new version must not get.
-func (sim *simulation) checkEntry() {
+// checkAdmission counts calls that the new version must not get.
+func (sim *simulation) checkAdmission() {
 	if sim.held().Phase == Running && sim.held().Share < Thousandths && float64(sim.exposed) > 0.1*float64(sim.reached)+50 {
 		sim.res.overBudget++
 	}
--- a/pkg/rollout/simulation_test.go
+++ b/pkg/rollout/simulation_test.go
@@ -18,28 +18,28 @@
 
 // scenario is the input of one simulated rollout.
 type scenario struct {
-	duration         time.Duration
-	rate             float64
-	old, new         int
-	anySpeeds        bool      // speeds of machines are drawn one by one instead of from the same mix for both versions
-	zones            []float64 // weights of calls
-	bad              *defect   // nil for a good version
-	leaderLosses     []time.Duration
-	thirdPartitioned [2]time.Duration // from, to: a third of the nodes is partitioned
-	reportLoss       float64
-	fullRestart      time.Duration // the judge is rebuilt from the committed state and all gates restart
-	burst            [2]time.Duration
-	failingOld       float64 // fraction of the old back ends that fail half of their calls
-	oneNewFailing    bool    // one new back end fails half of its calls
-	zoneFailing      [2]time.Duration
-	backToCold       time.Duration
-	gateRestarts     time.Duration    // interval at which the gate of a new back end restarts
-	eager            bool             // nodes offer every call to the new version, whatever its share
-	duplicates       bool             // clients send every call twice at once, the second marked as a repeat
-	slowNode         bool             // one node receives state a second late or more
-	coldFactor       float64          // slowdown of cold back ends
-	allNewCold       bool             // all new back ends become cold, instead of every fourth of all
-	stateLoss        [2]time.Duration // from, to: most state updates are lost
+	duration          time.Duration
+	rate              float64
+	old, new          int       // number of back ends of each version
+	independentSpeeds bool      // speeds of machines are drawn one by one instead of from the same mix for both versions
+	zoneWeights       []float64 // fraction of the calls in each zone
+	bad               *defect   // nil for a good version
+	leaderLosses      []time.Duration
+	thirdPartitioned  [2]time.Duration // from, to: a third of the nodes is partitioned
+	reportLoss        float64
+	fullRestart       time.Duration // the judge is rebuilt from the committed state and all gates restart
+	burst             [2]time.Duration
+	failingOld        float64 // fraction of the old back ends that fail half of their calls
+	oneNewFailing     bool    // one new back end fails half of its calls
+	zoneFailing       [2]time.Duration
+	backToCold        time.Duration
+	gateRestarts      time.Duration    // interval at which the gate of a new back end restarts
+	eager             bool             // nodes offer every call to the new version, whatever its share
+	duplicates        bool             // clients send every call twice at once, the second marked as a repeat
+	slowNode          bool             // one node receives state a second late or more
+	coldFactor        float64          // slowdown of cold back ends
+	allNewCold        bool             // all new back ends become cold, instead of every fourth of all
+	stateLoss         [2]time.Duration // from, to: most state updates are lost
 }
 
 type simBackend struct {
@@ -119,9 +119,9 @@
 	nextRunID    uint64
 	reached      int // distinct calls up to the deadline
 	exposed      int
-	bad          []time.Duration // times of the bad responses
-	newRate      float64
-	allRate      float64
+	bad          []time.Duration // when bad responses of the new version arrived
+	newRate      float64         // decaying count of calls to the new version
+	allRate      float64         // decaying count of all calls
 	res          result
 	candidates   []*simBackend
 	staleChanges []Change
@@ -143,9 +143,9 @@
 	speeds := []float64{0.7, 0.7, 1.6}
 	offset := sim.rng.Intn(3)
 	for i := 0; i < w.old+w.new; i++ {
-		b := &simBackend{index: i, version: "v1", zone: string(rune('a' + i%len(w.zones))), node: &simNode{}}
+		b := &simBackend{index: i, version: "v1", zone: string(rune('a' + i%len(w.zoneWeights))), node: &simNode{}}
 		b.speed = speeds[(i+offset)%3]
-		if w.anySpeeds {
+		if w.independentSpeeds {
 			b.speed = speeds[sim.rng.Intn(3)]
 		}
 		if i >= w.old {
@@ -190,7 +190,7 @@
 	}
 	sim.judge = NewJudge(Policy{0.1, 50}, start)
 	for sim.now = 0; sim.now < sim.duration+12*time.Second; sim.now += simulationStep {
-		sim.disturb()
+		sim.injectFaults()
 		sim.commit()
 		if sim.onStep != nil {
 			sim.onStep()
@@ -213,7 +213,7 @@
 	return sim.res
 }
 
-func (sim *simulation) disturb() {
+func (sim *simulation) injectFaults() {
 	for _, at := range sim.leaderLosses {
 		if sim.now == at {
 			sim.leaderAt = sim.now + time.Duration(500+sim.rng.Intn(700))*time.Millisecond
@@ -254,8 +254,8 @@
 	}
 }
 
-// proposeStale has the leader that is lost propose one more step, which is committed after its successor
-// has made steps.
+// proposeStale proposes one more step of the lost leader, which is committed after its successor has made
+// steps.
 func (sim *simulation) proposeStale() {
 	if sim.judge == nil {
 		return
--- a/pkg/rollout/verdict.go
+++ b/pkg/rollout/verdict.go
@@ -45,8 +45,9 @@
 	// minSlowBuckets is the smallest distance of a slow response from the usual time of its back end: a
 	// factor of 3.1.
 	minSlowBuckets = 3.25
-	// shiftMargin is how much slower the new version may be on average, in doublings. Added to it is the
-	// standard error between back ends times shiftSigmas, with a deviation of at least minSpread.
+	// The new version may be slower on average by a shift, in doublings of the time. The allowed shift is
+	// shiftMargin plus shiftSigmas standard errors; the standard deviation between back ends is assumed to
+	// be at least minSpread.
 	shiftMargin = 0.7
 	shiftSigmas = 2
 	// smallSampleSigmas, divided by the number of new back ends, is added to shiftSigmas.
@@ -400,8 +401,8 @@
 	return t.failed >= number && t.failed > allowed+2*math.Sqrt(max(0, allowed))
 }
 
-// updateExpectedFailures adds to each new back end how many of the calls that ended since the last call
-// would have failed at the old version's rate. It must precede each evaluation.
+// updateExpectedFailures adds to each new back end how many of the calls that ended since the previous
+// update would have failed at the old version's rate. It must precede each evaluation.
 func (j *Judge) updateExpectedFailures() {
 	var byWindow [len(recentTicks)][]sample
 	for i, ticks := range recentTicks {
