--- a/pkg/routing/match.go
+++ b/pkg/routing/match.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// match returns the route whose prefix is the longest one that ends at a segment of the path. Routes of
+// match returns the route with the longest prefix of the path that ends at a segment boundary. Routes of
 // the host precede those for all hosts.
 func (x *routeIndex) match(host, path string) *Route {
 	if found := longestPrefix(x.hosts[host], path); found != nil {
--- a/pkg/routing/match_test.go
+++ b/pkg/routing/match_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// longestPrefixBySearch is the reference for Match: of all prefixes that end at a segment of the path, it
-// returns the longest.
+// longestPrefixBySearch is the reference for Match: of all prefixes of the path that end at a segment
+// boundary, it returns the longest.
 func longestPrefixBySearch(routes []bundle.Route, host, path string) string {
 	longest := ""
 	for _, r := range routes {
--- a/pkg/routing/routing.go
+++ b/pkg/routing/routing.go
@@ -1,5 +1,5 @@
-// Package routing builds the table by which a node routes calls from the state distributed by the control
-// plane. A table is immutable and replaced as a whole.
+// Package routing builds a node's routing table from the state that the control plane distributes. A table
+// is immutable and replaced as a whole.
 package routing
 
 import (
@@ -75,7 +75,7 @@
 	Region string
 	// Version is the version of the back end's software, empty if unknown.
 	Version string
-	// Closing is set while a rollout closes the back end's gate: it gets calls only if the rollout fails.
+	// Closing is set while a rollout closes the back end's gate: it gets calls again only if the rollout fails.
 	Closing bool
 	// Refused is the reason why the back end gets no new calls at present, empty if it may get them.
 	Refused exchange.Reason
@@ -83,8 +83,10 @@
 
 // Service is the configuration of a service together with its current back ends.
 type Service struct {
-	Name           string
+	Name string
+	// MaxConcurrency is the number of calls that one back end takes at a time, zero if unknown.
 	MaxConcurrency int
+	// MaxConnections bounds the connections of one node to one back end.
 	MaxConnections int
 	// ColdStart is how long a back end stays cold after its start, ColdRate the calls per second that it
 	// can take while cold; zero for no bound.
@@ -194,7 +196,7 @@
 }
 
 // Match returns the route for a Host header, with or without a port, and a path. Routes of the host
-// precede those for all hosts; among them the longest prefix that ends at a segment matches.
+// precede those for all hosts; among them the longest prefix that ends at a segment boundary matches.
 func (t *Table) Match(host, path string) (Route, bool) {
 	found := t.routes.match(normalizeHost(host), path)
 	if found == nil {
--- a/pkg/routing/tenants.go
+++ b/pkg/routing/tenants.go
@@ -10,14 +10,14 @@
 	Name string
 	// Limit bounds the rate of its calls over all nodes; the zero value is no limit.
 	Limit quota.Limit
-	// Priority orders its calls before the priorities of routes; 0 is served first.
+	// Priority takes precedence over the priorities of routes; 0 is served first.
 	Priority int
 	// Regions are the regions that may serve its calls; empty allows all.
 	Regions []string
 }
 
-// tenantIndex finds tenants by the digests of their keys. It is immutable. A lookup by digest leaks no
-// timing about similar keys, since a caller can't tell which digests are similar.
+// tenantIndex finds tenants by the digests of their keys. It is immutable. The duration of a lookup reveals
+// nothing about keys: a caller can't choose keys with similar digests.
 type tenantIndex struct {
 	byKey  map[bundle.Digest]*Tenant
 	byName map[string]*Tenant
@@ -48,13 +48,13 @@
 	return x.byName[name]
 }
 
-// HasTenants reports whether calls on routes that are not public need a tenant's key.
+// HasTenants reports whether any tenant is configured; calls on non-public routes then need a tenant's key.
 func (t *Table) HasTenants() bool { return len(t.tenants.byName) > 0 }
 
 // TenantOf returns the tenant to which a key digest belongs, nil if none.
 func (t *Table) TenantOf(key bundle.Digest) *Tenant { return t.tenants.byKey[key] }
 
-// TenantLimits returns the limits of all tenants that have one, by tenant name.
+// TenantLimits returns the limits of the table's tenants that have one, by tenant name.
 func (t *Table) TenantLimits() map[string]quota.Limit { return t.tenants.limits }
 
 // TenantLimits returns the limits of those tenants that have one, by tenant name.
