--- a/pkg/retry/budget.go
+++ b/pkg/retry/budget.go
@@ -22,8 +22,9 @@
 	return Config{Ratio: 0.1, PerSecond: 1, Max: 20}
 }
 
-// DeclineConfig returns a configuration for retries of declined calls, which may double the number of
-// attempts: a decline is cheap, and the next back end may have free capacity.
+// DeclineConfig returns a configuration for retries of calls that a back end declined without starting
+// them. They may double the number of attempts: a decline is cheap, and the next back end may have free
+// capacity.
 func DeclineConfig() Config {
 	return Config{Ratio: 1, PerSecond: 1, Max: 50}
 }
@@ -61,8 +62,8 @@
 	return true
 }
 
-// Charge debits calls caused here by retries of another service, which can't be rejected. The balance may
-// fall to -Max; later attempts must make up for that before another retry is allowed.
+// Charge debits incoming calls that exist only because another service retried; amount is in retries. They
+// can't be rejected, so the balance may fall to -Max; no retry is allowed until it is at least 1.
 func (b *Budget) Charge(now time.Duration, amount float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/pkg/retry/budget_test.go
+++ b/pkg/retry/budget_test.go
@@ -34,7 +34,7 @@
 		granted++
 	}
 	is.Equal(granted, int(DefaultConfig().Max))
-	is.True(b.Withdraw(3 * time.Second)) // the amount added per second
+	is.True(b.Withdraw(3 * time.Second)) // PerSecond has refilled the budget
 }
 
 // Guards against charged calls that add to the traffic on top of the retries.
@@ -49,7 +49,7 @@
 			granted++
 		}
 	}
-	is.True(granted >= 380 && granted <= 420) // a tenth less the charges
+	is.True(granted >= 380 && granted <= 420) // 0.1 earned minus 0.06 charged per call
 	for range 1000 {
 		b.Charge(0, 1)
 	}
--- a/pkg/retry/throttle.go
+++ b/pkg/retry/throttle.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// requestMultiple is how many requests are allowed for each one granted. With 3, at least a third of
-	// the requests is granted, and free capacity is detected within about halfLife.
+	// Requests are dropped once those sent exceed requestMultiple times those granted, plus freeRequests.
+	// With a multiple of 3, up to two thirds may be rejected, and free capacity is detected within about
+	// halfLife. A few rejections are no overload.
 	requestMultiple = 3.0
-	// freeRequests is the number of requests allowed beyond that: a few rejections are no overload.
-	freeRequests = 4.0
+	freeRequests    = 4.0
 	// halfLife is the time after which requests and grants count half.
 	halfLife = time.Second
 )
--- a/pkg/retry/throttle_test.go
+++ b/pkg/retry/throttle_test.go
@@ -29,13 +29,13 @@
 	var throttle Throttle
 	always := func(int) bool { return true }
 	is.Equal(send(&throttle, 0, 5, always), 500)
-	is.Equal(send(&throttle, 5*time.Second, 5, func(n int) bool { return n%4 != 0 }), 500) // a few rejections are no overload
+	is.Equal(send(&throttle, 5*time.Second, 5, func(n int) bool { return n%4 != 0 }), 500) // a quarter rejected is below the tolerated two thirds
 	count := 0
 	requested := send(&throttle, 10*time.Second, 10, func(int) bool { count++; return count%10 == 0 })
 	is.True(requested < 600) // a tenth is granted, so most requests are dropped
 	requested = send(&throttle, 20*time.Second, 10, func(int) bool { return false })
 	is.True(requested > 3 && requested < 300)                 // it keeps probing
-	is.True(send(&throttle, 30*time.Second, 4, always) > 300) // and detects free capacity
+	is.True(send(&throttle, 30*time.Second, 4, always) > 300) // free capacity is detected
 }
 
 // Guards against a share that ignores pending requests or that overrates a few of them.
