--- a/pkg/eligibility/eligibility.go
+++ b/pkg/eligibility/eligibility.go
@@ -1,8 +1,8 @@
 // Package eligibility decides which back ends may take calls, regardless of their load.
 //
-// A node applies these rules when it chooses a back end, and the gate applies them again on admission. A node
-// with old information, for instance after a restart or in a network partition, thus gets a rejection from the
-// gate before the call is executed.
+// A node applies these rules when it chooses a back end, and the gate in front of the back end applies them
+// again on admission. A node with old information, for instance after a restart or in a network partition,
+// thus gets a rejection from the gate before the call is executed.
 package eligibility
 
 import (
--- a/pkg/eligibility/eligibility_test.go
+++ b/pkg/eligibility/eligibility_test.go
@@ -20,7 +20,7 @@
 	is.True(rules.InRegions("b", []string{"east"}))
 	is.True(!rules.InRegions("c", []string{"east"}))
 	is.True(rules.InRegions("c", nil))                 // no restriction
-	is.True(!rules.InRegions("zzz", []string{"east"})) // unknown region
+	is.True(!rules.InRegions("zzz", []string{"east"})) // the zone has no region
 	var none *Rules
 	is.Equal(none.Refuses(Backend{Zone: "a"}), exchange.Reason(""))
 	is.True(none.InRegions("a", nil))
@@ -29,8 +29,8 @@
 func TestRolloutPhasesRefuseAndCloseBackends(t *testing.T) {
 	is := is.New(t)
 	for phase, want := range map[rollout.Phase]struct {
-		new exchange.Reason
-		old bool
+		new exchange.Reason // why back ends of the new version are refused
+		old bool            // whether gates of the old version close
 	}{
 		rollout.Running: {}, rollout.Closing: {old: true}, rollout.Completed: {},
 		rollout.Reverting: {new: exchange.ReasonVersion}, rollout.RolledBack: {new: exchange.ReasonVersion},
