--- a/pkg/orders/table.go
+++ b/pkg/orders/table.go
@@ -7,14 +7,15 @@
 	"bramblelift/pkg/rollout"
 )
 
-// Evacuation orders that back ends in a zone take no new calls.
+// Evacuation is an order that back ends in a zone take no new calls.
 type Evacuation struct {
 	Zone string `json:"zone"`
 	// AtMillis is the leader's wall-clock time of the order in Unix milliseconds, for display only.
 	AtMillis int64 `json:"at_millis,omitempty"`
 }
 
-// Table holds all orders in force. It is immutable; nil is an empty table.
+// Table holds the evacuations in force and the latest rollout of each service. It is immutable; nil is an empty
+// table.
 type Table struct {
 	// Modified is the revision of the distributed state at the table's last change.
 	Modified uint64 `json:"modified"`
@@ -103,7 +104,7 @@
 	return t
 }
 
-// Fields returns the change as log keys and values.
+// Fields returns the change as alternating keys and values for a log message.
 func (c Change) Fields() []any {
 	switch {
 	case c.Evacuate != nil:
