--- a/pkg/routing/routing.go
+++ b/pkg/routing/routing.go
@@ -84,7 +84,7 @@
 // Service is the configuration of a service together with its current back ends.
 type Service struct {
 	Name string
-	// MaxConcurrency is the number of calls that one back end takes at a time, zero if unknown.
+	// MaxConcurrency is the number of calls that one back end takes at a time, zero for the default.
 	MaxConcurrency int
 	// MaxConnections bounds the connections of one node to one back end.
 	MaxConnections int
