--- a/pkg/rollout/judge.go
+++ b/pkg/rollout/judge.go
@@ -14,10 +14,10 @@
 	ExposureSlack uint64
 }
 
-// Holder is a node that may send calls to the service.
+// Holder is a node that holds a copy of the rollout and may send calls to the service.
 type Holder struct {
 	Name string
-	// Confirmed is set once the node has confirmed phase and share of the held step.
+	// Confirmed is set once the node has confirmed phase and share of the committed step.
 	Confirmed bool
 	// Silent is the time since this leader last heard from the node, at most the time it has been leader.
 	Silent time.Duration
@@ -29,10 +29,11 @@
 	Version  string
 	// Life is the gate's process run, zero until this leader has received a report from it.
 	Life uint64
-	// Confirmed is set once the gate's node has confirmed phase and share of the held step.
+	// Confirmed is set once the gate's node has confirmed phase and share of the committed step.
 	Confirmed bool
 	// AtWork is the number of calls in flight at the back end, as the gate reported after it confirmed.
 	AtWork int
+	// Silent is the time since this leader last heard from the gate's node, at most the time it has been leader.
 	Silent time.Duration
 }
 
@@ -328,7 +329,7 @@
 	return lasted >= drainTimeout && (done || g.Silent >= LeaseTime+drainTimeout)
 }
 
-// allConfirmed reports whether all connected nodes have confirmed the held step.
+// allConfirmed reports whether all connected nodes have confirmed the committed step.
 func allConfirmed(view View) bool {
 	return !slices.ContainsFunc(view.Holders, func(h Holder) bool { return !h.Confirmed && h.Silent <= LeaseTime })
 }
--- a/pkg/rollout/verdict.go
+++ b/pkg/rollout/verdict.go
@@ -74,8 +74,8 @@
 	floor    float64
 	// baselineRate returns the old version's rate for a zone.
 	baselineRate func(old []sample, zone string, m measure) float64
-	// timing marks tests of times. They need calls of the old version, and their baseline is at least its
-	// rate since the order, since slow machines stay slow.
+	// timing is set for tests of response times. They need calls of the old version, and their baseline is at
+	// least its rate since the order, because slow machines stay slow.
 	timing bool
 }
 
@@ -85,10 +85,11 @@
 	{description: "slow", measure: inServiceTail, excesses: []float64{0.15, 0.4}, floor: tailFloor, baselineRate: slowestRate, timing: true},
 }
 
-// windows are the compared windows in ticks; allTime is the window since the order. Wide windows find weak
-// permanent faults, narrow ones strong recent faults.
+// allTime selects the window since the order.
 const allTime = 0
 
+// windows are the lengths, in ticks, of the windows in which the versions are compared. Wide windows find weak
+// permanent faults, narrow ones strong recent faults.
 var windows = [...]int{1, 2, 4, 8, 16, 32, allTime}
 
 // verdict is the strongest evidence found against the new version.
@@ -100,6 +101,7 @@
 	requiredBackends int
 }
 
+// raise replaces the verdict if the score is higher.
 func (v *verdict) raise(score float64, why func() string) {
 	if score > v.score {
 		v.score, v.reason = score, why()
@@ -112,7 +114,7 @@
 // mayClose reports whether the evidence is weak enough to remove the bound on the new version's calls.
 func (v verdict) mayClose() bool { return v.score < maxClosingScore }
 
-// sample holds the calls of one back end in a window, of one route or of all.
+// sample summarizes the calls of one back end in a window, of one route or of all routes.
 type sample struct {
 	gateRun uint64
 	zone    string
@@ -351,8 +353,8 @@
 	})
 }
 
-// testFailureSum rolls the version back after some tens of failures that far exceed those expected at the
-// old version's rate, unless they are confined to one of several zones.
+// testFailureSum rolls the version back after maxFailures failures, without its worst back ends, if they far
+// exceed those expected at the old version's rate and are not confined to one of several zones.
 func (j *Judge) testFailureSum(v *verdict) {
 	var target []*processRun
 	for _, run := range j.runs {
@@ -476,7 +478,7 @@
 	return min(1, (1.1*bad+math.Sqrt(bad))/calls)
 }
 
-// withoutWorst drops the worst back ends by a measure, one in oneIn, if there are three or more.
+// withoutWorst drops the worst back ends by a measure, one of every oneIn, if there are three or more.
 func withoutWorst(list []sample, oneIn int, worse func(sample) float64) []sample {
 	list = slices.Clone(list)
 	if len(list) < 3 {
