--- a/pkg/gate/admission.go
+++ b/pkg/gate/admission.go
@@ -102,7 +102,7 @@
 // admission is a slot for one call at the back end.
 type admission struct {
 	backend Backend
-	// work is the service time that the caller expects.
+	// work is the service time that the sending node expects.
 	work       time.Duration
 	generation uint64
 	admittedAt time.Duration
@@ -111,7 +111,7 @@
 	retry bool
 }
 
-// request holds the properties of a call that admission depends on.
+// request holds the properties of a call that admission depends on, read from the call's headers.
 type request struct {
 	// instance is the ID of the back end that the call is meant for, empty for any.
 	instance string
@@ -126,14 +126,14 @@
 	// unlikely to be admitted within wait, so that the caller can retry elsewhere.
 	wait      time.Duration
 	earlyWait time.Duration
-	// work is the service time that the caller expects.
+	// work is the service time that the sending node expects.
 	work time.Duration
 	// expectedResponse is the expected response size in bytes, zero if the response is not expected
 	// to be large.
 	expectedResponse int64
 	// lateAt is when the call becomes late unless it has started, zero if it has no target latency.
 	lateAt time.Duration
-	// hint is the caller's view of the rollout, zero if none is running.
+	// hint is the sending node's view of the rollout, zero if none is running.
 	hint versionHint
 	// transitDelay is how much longer the call took to arrive than the fastest recent one.
 	transitDelay time.Duration
--- a/pkg/gate/closing_test.go
+++ b/pkg/gate/closing_test.go
@@ -91,7 +91,7 @@
 	is.Equal(g.Closed(), exchange.ReasonEvacuated)
 	_, reason = g.admitOne()
 	is.Equal(reason, exchange.ReasonLeft) // i1 has left: that reason takes precedence
-	g.RemoveBackend("i2")                 // i2 drains during the evacuation
+	g.RemoveBackend("i2")                 // i2 leaves during the evacuation
 	is.Equal(g.Closed(), exchange.Reason(""))
 	g.SetBackend(Backend{ID: "i3", Capacity: 1, Zone: "b"}) // i3 runs in another zone
 	is.Equal(g.Closed(), exchange.Reason(""))
--- a/pkg/gate/gate.go
+++ b/pkg/gate/gate.go
@@ -1,8 +1,8 @@
-// Package gate implements admission control in front of the back end beside a node.
-//
-// All calls to the back end pass its gate. The gate therefore knows how many calls are in flight,
-// orders the queued ones, can state that a rejected call has not run, and keeps new calls from a
-// leaving back end regardless of their sender.
+// Package gate implements admission control in front of the back end beside a node. All calls pass
+// the gate, which queues them and can state that a rejected call has not run. A back end is cold
+// for a while after its start, when it sustains only a low rate of calls. Orders are evacuations of
+// zones and rollouts of versions. They are part of the node's state, the configuration and endpoint
+// data that the control plane distributes.
 package gate
 
 import (
@@ -32,10 +32,10 @@
 	// crashCheckTimeout bounds the check whether the back end still listens after an exchange
 	// failed. The back end runs on the same machine, so a connection succeeds or fails at once.
 	crashCheckTimeout = 50 * time.Millisecond
-	// largeBodyBytes is the length from which a body is received before the call gets a slot.
+	// largeBodyBytes is the body size from which a body is received before the call gets a slot.
 	largeBodyBytes = 16 << 10
-	// receivedWaitDivisor divides the time until the deadline: a call whose large body was received
-	// may wait that long for a slot.
+	// receivedWaitDivisor divides the time until the deadline to get how long a call whose large
+	// body was received may wait for a slot.
 	receivedWaitDivisor = 3
 )
 
@@ -219,8 +219,8 @@
 	})
 }
 
-// awaitLink waits until a body may be transferred. If the caller leaves, reading the body returns
-// the error.
+// awaitLink waits until a body may be transferred. If the caller disconnects, reading the body
+// returns the error.
 func (g *Gate) awaitLink(ctx context.Context, due time.Duration) {
 	wait := due - g.config.Now()
 	if wait <= 0 {
--- a/pkg/gate/inbound.go
+++ b/pkg/gate/inbound.go
@@ -15,13 +15,13 @@
 // meet its target. Late calls only get a link that is nearly free.
 func (g *Gate) maxBodyLinkWait(req request, size int64) time.Duration {
 	if g.inbound == nil || req.late {
-		return bodySlack
+		return linkSlack
 	}
 	if !req.targeted {
-		return max(bodySlack, req.wait)
+		return max(linkSlack, req.wait)
 	}
 	work := time.Duration(workMargin * float64(max(req.work, g.expectedWork())))
-	return max(bodySlack, req.targetLeft-work-g.inbound.duration(g.config.Now(), size))
+	return max(linkSlack, req.targetLeft-work-g.inbound.duration(g.config.Now(), size))
 }
 
 // expectedWork is expectedServiceTime for callers that do not hold g.mu.
--- a/pkg/gate/inbound_test.go
+++ b/pkg/gate/inbound_test.go
@@ -56,9 +56,9 @@
 	call := request{work: 100 * time.Millisecond, wait: 5 * time.Second, targeted: true, targetLeft: time.Second}
 	is.Equal(g.maxBodyLinkWait(call, size), time.Second-130*time.Millisecond-100*time.Millisecond)
 	call.targetLeft, call.late = 50*time.Millisecond, true
-	is.Equal(g.maxBodyLinkWait(call, size), bodySlack)
+	is.Equal(g.maxBodyLinkWait(call, size), linkSlack)
 	is.Equal(g.maxBodyLinkWait(request{wait: time.Second}, size), time.Second) // without a target
-	is.Equal(g.maxBodyLinkWait(request{}, size), bodySlack)
+	is.Equal(g.maxBodyLinkWait(request{}, size), linkSlack)
 }
 
 // postLargeBody posts a large body with Expect: 100-continue and returns the response.
@@ -94,7 +94,7 @@
 	t.Cleanup(server.Close)
 	started := time.Now()
 	// A body takes twice as long as any body may wait.
-	const duration = 2 * bodySlack
+	const duration = 2 * linkSlack
 	g := New(Config{Headers: testHeaders, Now: func() time.Duration { return time.Since(started) }, Link: link.NewMeter(100_000 / duration.Seconds() / inboundShare * 8)})
 	g.SetBackend(Backend{ID: "b1", Address: server.Listener.Addr().String(), Capacity: 4})
 	front := httptest.NewServer(g)
--- a/pkg/gate/linkscheduler.go
+++ b/pkg/gate/link_scheduler.go
@@ -9,12 +9,12 @@
 	// minBodyShare is the minimum share of the link's rate for large bodies, whatever other traffic
 	// uses.
 	minBodyShare = 0.1
-	// maxReservation limits the link time of one body: no call lasts longer.
+	// maxReservation limits the link time of one body; no call's deadline is later.
 	maxReservation = time.Hour
-	// bodySlack is how long a large body or response may wait for the link even if it will be late
-	// or its sender allows no wait: about the transfer time of another one on a link that is not
-	// overloaded.
-	bodySlack = 300 * time.Millisecond
+	// linkSlack is how long a large body or response may wait for the link even if it will be late
+	// or its sender allows no wait: about the transfer time of one other large body on a link that
+	// is not overloaded.
+	linkSlack = 300 * time.Millisecond
 	// workMargin multiplies the expected service time in the estimate whether a call that waits for
 	// the link meets its target.
 	workMargin = 1.3
--- a/pkg/gate/outbound.go
+++ b/pkg/gate/outbound.go
@@ -20,8 +20,8 @@
 	// minReportedLinkWait is the shortest link wait that load reports mention, about the transfer
 	// time of one large response.
 	minReportedLinkWait = 50 * time.Millisecond
-	// transferTimeDivisor divides the time until the deadline: a large response may take that long
-	// to transfer if its target latency leaves less.
+	// transferTimeDivisor divides the time until the deadline to get the minimum time allowed for
+	// the transfer of a large response, also if its target latency leaves less.
 	transferTimeDivisor = 3
 )
 
@@ -41,7 +41,7 @@
 // caller in time. Late calls only get a link that is nearly free.
 func (g *Gate) maxResponseLinkWait(req request) time.Duration {
 	if g.outbound == nil || req.late {
-		return bodySlack
+		return linkSlack
 	}
 	now := g.config.Now()
 	left := (req.deadline - now) / 2
@@ -49,7 +49,7 @@
 		left = req.targetLeft
 	}
 	work := time.Duration(workMargin * float64(max(req.work, g.expectedWork())))
-	return max(bodySlack, left-work-g.outbound.duration(now, req.expectedResponse))
+	return max(linkSlack, left-work-g.outbound.duration(now, req.expectedResponse))
 }
 
 // settleResponse adjusts the reservation to the actual size of the response, or cancels it if there
@@ -79,7 +79,7 @@
 	io.ReadCloser
 	gate       *Gate
 	left, size int64
-	// duration is the reserved time, until its end.
+	// duration is the length of the reservation, until its end.
 	duration, until time.Duration
 	closeOnce       sync.Once
 }
--- a/pkg/gate/quarantine.go
+++ b/pkg/gate/quarantine.go
@@ -13,11 +13,11 @@
 	if g.config.Quarantine.Empty() {
 		return quarantine.Match{}
 	}
-	return g.config.Quarantine.Look(r, body.Data(), g.way(r, adm))
+	return g.config.Quarantine.Look(r, body.Data(), g.callerAndService(r, adm))
 }
 
-// way returns the caller and the service of a call to the back end.
-func (g *Gate) way(r *http.Request, adm admission) quarantine.Way {
+// callerAndService returns the caller and the service of a call to the back end.
+func (g *Gate) callerAndService(r *http.Request, adm admission) quarantine.Way {
 	return quarantine.Way{Caller: r.Header.Get(g.config.Headers.Caller), Service: adm.backend.Service}
 }
 
@@ -41,7 +41,7 @@
 	if g.config.OnEnded == nil {
 		return
 	}
-	g.config.OnEnded(quarantine.End{Request: call.Fingerprint, Instance: adm.backend.ID, Way: g.way(r, adm), Watched: call.Watched})
+	g.config.OnEnded(quarantine.End{Request: call.Fingerprint, Instance: adm.backend.ID, Way: g.callerAndService(r, adm), Watched: call.Watched})
 }
 
 // reportResponse reports that the back end responded to a watched request.
@@ -53,5 +53,5 @@
 	if match.Standing == quarantine.Unsuspected || match.Answered {
 		return
 	}
-	g.config.OnAnswered(quarantine.Answer{Request: match.Request, Way: g.way(r, adm)})
+	g.config.OnAnswered(quarantine.Answer{Request: match.Request, Way: g.callerAndService(r, adm)})
 }
--- a/pkg/gate/queue.go
+++ b/pkg/gate/queue.go
@@ -11,7 +11,8 @@
 type waiter struct {
 	late bool
 	// lateAt is when the call becomes late, zero for never.
-	lateAt   time.Duration
+	lateAt time.Duration
+	// work is the expected service time.
 	work     time.Duration
 	priority int
 	deadline time.Duration
--- a/pkg/gate/rate.go
+++ b/pkg/gate/rate.go
@@ -12,22 +12,24 @@
 	// minSpacing is the minimum time between two calls as a share of the mean interval. Less would
 	// admit the calls of a second as one burst; the full interval would lose unused time.
 	minSpacing = 0.5
-	// minRate, in calls per second, keeps the window shorter than an hour, the span of never.
+	// minRate is the lowest rate, in calls per second. It keeps every window shorter than an hour,
+	// so that the time never is before the start of any window.
 	minRate = 0.001
-	// maxWindowCalls limits the memory of a window; back ends with higher rates need no limit.
+	// maxWindowCalls bounds the memory of a window: higher rates are limited to this many calls per
+	// window.
 	maxWindowCalls = 4096
 )
 
-// slidingRate limits the number of calls in any sliding window. Calls that were admitted without
-// asking count too. The zero value has no limit.
+// slidingRate limits the number of calls in any sliding window. Calls recorded
+// before nextAdmission allowed them count too. The zero value has no limit.
 type slidingRate struct {
 	// admissions is a ring with the times of the latest calls, as many as a window may hold; next
-	// is the index of the oldest.
+	// is the index of the oldest, last the time of the latest.
 	admissions []time.Duration
 	next       int
 	last       time.Duration
 	// window is the length of the sliding window: rateWindow, or longer for rates below one call
-	// per window.
+	// per second, so that it holds one call.
 	window time.Duration
 }
 
--- a/pkg/gate/retries.go
+++ b/pkg/gate/retries.go
@@ -1,8 +1,8 @@
 package gate
 
 // RetryShare returns the share, from 0 to 1, of the running calls that another back end received
-// before. Calls that the back end makes on their behalf are repeated as well, but cannot be
-// identified.
+// before. The back end's own outgoing calls cannot be matched to the calls that caused them, so
+// this share estimates how many of them are retries.
 func (g *Gate) RetryShare() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/pkg/gate/transit.go
+++ b/pkg/gate/transit.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// transitWindow is how long the minimum clock difference of a process is tracked; the previous
-	// window's counts too. It is long compared with the queue of a link, and short enough to
+	// transitWindow is how long the minimum clock difference of a process is tracked; the
+	// minimum of the previous window counts too. It is long compared with the queue of a link, and short enough to
 	// recover soon from a clock that stopped.
 	transitWindow = 10 * time.Second
 	// transitTolerance is the delay that is ignored: it covers the header's millisecond resolution
@@ -54,7 +54,7 @@
 	return delay
 }
 
-// rotate starts a new window and forgets the processes without calls in the last two. t.mu must be
+// rotate starts a new window and discards the processes without calls in the last two. t.mu must be
 // held.
 func (t *transitTracker) rotate(now time.Duration) {
 	if t.processes != nil && now < t.windowEnds {
--- a/pkg/gate/transit_test.go
+++ b/pkg/gate/transit_test.go
@@ -31,9 +31,9 @@
 	is.Equal(delay(1, 12_000*ms, 80_500*ms), 500*ms)   // the next window uses the previous minimum
 	is.Equal(delay(3, 12_000*ms, 12_000*ms), 0*ms)     // a restarted process
 	is.Equal(delay(1, 70_000*ms, 90_000*ms), 0*ms)     // a clock that stopped is accepted in the next window
-	is.Equal(delay(1, 70_100*ms, 90_050*ms), 50*ms)    // and then compared with itself
-	is.Equal(len(tracker.processes), 1)                // silent processes are forgotten
-	is.Equal(delay(1, 200_000*ms, 219_900*ms), 0*ms)   // no minimum is known after silence
+	is.Equal(delay(1, 70_100*ms, 90_050*ms), 50*ms)    // its delay is then measured against the new offset
+	is.Equal(len(tracker.processes), 1)                // processes without calls are discarded
+	is.Equal(delay(1, 200_000*ms, 219_900*ms), 0*ms)   // the minimum is discarded after two windows without calls
 	is.Equal(delay(1, 200_100*ms, 220_100*ms), 0*ms)   // a faster call
 	is.Equal(delay(1, 200_200*ms, 220_100*ms), 100*ms) // is the new minimum
 }
--- a/pkg/gate/version.go
+++ b/pkg/gate/version.go
@@ -39,7 +39,8 @@
 	g.applyRollout()
 }
 
-// resetRollout starts with a new process run for another back end. g.mu must be held.
+// resetRollout discards the rollout state of the previous back end and draws a new processRun ID.
+// g.mu must be held.
 func (g *Gate) resetRollout() {
 	g.rollout = rolloutState{rollouts: g.rollout.rollouts, processRun: rand.Uint64()}
 	g.applyRollout()
@@ -138,7 +139,7 @@
 	e.tally.End(e.route, outcome, result.serviceTime, e.cold || cold)
 }
 
-// versionHint is what a call's headers say of a rollout that the caller's node knows.
+// versionHint is the rollout state that a call's headers pass on from the sending node.
 type versionHint struct {
 	// target is the new version of the rollout, on calls that are meant for it.
 	target string
@@ -159,7 +160,7 @@
 	// AtWork is the number of calls in flight at the back end.
 	AtWork int
 	// Reopened is set while the gate admits calls to an old version that the rollout closes,
-	// because its lease from the control plane has expired.
+	// because the node's state was not confirmed recently.
 	Reopened bool
 }
 
