--- a/pkg/forward/attempt.go
+++ b/pkg/forward/attempt.go
@@ -92,7 +92,7 @@
 	if c.route.Credential != "" {
 		request.Header.Set("Authorization", "Bearer "+c.route.Credential)
 	}
-	if c.body.length != 0 || !c.safe {
+	if c.body.length != 0 || !c.repeatable {
 		request.Body = c.body.reader()
 		request.ContentLength = c.body.length
 	}
--- a/pkg/forward/body.go
+++ b/pkg/forward/body.go
@@ -43,8 +43,8 @@
 	return body, nil
 }
 
-// repeatable reports whether the body can be sent again.
-func (b *replayBody) repeatable() bool { return b.complete || !b.readStarted.Load() }
+// replayable reports whether the body can be sent again.
+func (b *replayBody) replayable() bool { return b.complete || !b.readStarted.Load() }
 
 // reader returns the body for one attempt. It is never http.NoBody and cannot be rewound, which
 // keeps the transport from retrying the request.
--- a/pkg/forward/busy_link_test.go
+++ b/pkg/forward/busy_link_test.go
@@ -116,7 +116,7 @@
 	}
 	attempted := total(n.gateCalls) - before
 	is.True(attempted > 0)
-	is.True(attempted < calls) // each would attempt maxFullGates gates
+	is.True(attempted < calls) // without the throttle, each call attempts maxFullGates gates
 	n.full.Store(false)
 	served := 0
 	for range 100 {
--- a/pkg/forward/cold.go
+++ b/pkg/forward/cold.go
@@ -42,8 +42,8 @@
 	return failure.reason == exchange.ReasonCold && g.coldRejections >= maxColdRejections
 }
 
-// retryAfterCold returns when the caller should retry if cold back ends were the reason. It is not
-// before the first one is warm, unless the call's deadline requires it.
+// retryAfterCold returns when the caller should retry if cold back ends were the reason. That
+// is not before the first of them is warm, unless the call's deadline requires it.
 func (g *gatedCall) retryAfterCold(left time.Duration) time.Duration {
 	pause := left / gateRetryDivisor
 	warm := time.Duration((1 + coldRetryJitter*rand.Float64()) * float64(g.untilWarm))
--- a/pkg/forward/gate_choice.go
+++ b/pkg/forward/gate_choice.go
@@ -21,10 +21,11 @@
 	// ownWaitDivisor divides the time left until the target latency to limit the wait at the node's own
 	// gate, so that the caller still has time to retry.
 	ownWaitDivisor = 4
-	// scarceRatio is the ratio of attempts without a grant above which a free slot is preferred to a
+	// scarceRatio is the share of attempts that gates reject above which a free slot is preferred to a
 	// fast back end.
 	scarceRatio = 0.1
-	// freeSlotServiceTimes is how many service times of such a back end must fit into the time left.
+	// freeSlotServiceTimes is how many service times of a back end with a free slot must fit into the
+	// time left until the target latency.
 	freeSlotServiceTimes = 1.4
 	// minServiceTime is reserved for the work of a call that waits at a gate.
 	minServiceTime = 5 * time.Millisecond
@@ -36,16 +37,18 @@
 	maxLocalWaitRatio         = 0.9
 	localWaitRatioPerKilobyte = 0.1
 	baseKilobytes             = 2
-	// Calls with a large body may wait for a ratio of the time until the deadline.
+	// A call with a body larger than largeBodyBytes may wait in its own zone for localWaitRatioLarge of
+	// the time until the deadline, after localServiceTimesLarge service times are subtracted.
 	largeBodyBytes         = 16 << 10
 	localServiceTimesLarge = 1.5
 	localWaitRatioLarge    = 0.8
-	// A call waits no longer than lets it meet its target latency: a longer wait would also delay the
-	// calls behind it.
+	// reservedServiceTimes are subtracted from the time left until the target latency to limit a call's
+	// wait at a gate, since a longer wait would also delay the calls behind it. A call may always wait
+	// for its target latency divided by minWaitDivisor, within the deadline.
 	reservedServiceTimes = 1.4
 	minWaitDivisor       = 10
-	// Calls shorter than this part of the mean service time may wait longer, since they hardly delay
-	// other calls.
+	// shortWorkDivisor divides the mean service time: calls shorter than that are exempt from the limit
+	// above, since they hardly delay other calls.
 	shortWorkDivisor = 3
 	// ownWorkDivisor divides the time left to limit the service time up to which the back end beside
 	// the node is preferred.
@@ -69,7 +72,7 @@
 
 // gateRequest returns the part of the selection request that is independent of the link load.
 func (g *gatedCall) gateRequest(now time.Duration) balancer.GateRequest {
-	request := balancer.GateRequest{LeftOut: g.excluded, Regions: g.route.Regions, Patience: g.maxWait(now), Repeatable: g.safe, LargeAnswer: g.largeResponse()}
+	request := balancer.GateRequest{LeftOut: g.excluded, Regions: g.route.Regions, Patience: g.maxWait(now), Repeatable: g.repeatable, LargeAnswer: g.largeResponse()}
 	request.Spared = g.handler.regionDelays.congested(now, g.largeResponse() || g.body.Size() > largeBodyBytes)
 	request.Version = g.versionChoice(now)
 	if g.countedAttempts == 0 {
--- a/pkg/forward/gate_exchange.go
+++ b/pkg/forward/gate_exchange.go
@@ -26,7 +26,7 @@
 	// gateBuffer is the size in bytes of the read and write buffers of each connection. It is small
 	// because there are hundreds of connections.
 	gateBuffer = 2 << 10
-	// earlyDivisor divides the target latency to give the time within which a rejection leaves the
+	// earlyDivisor divides the target latency to get the time within which a rejection leaves the
 	// caller time to retry.
 	earlyDivisor = 5
 )
@@ -90,8 +90,8 @@
 	return g.readGateResponse(ticket, response)
 }
 
-// readGateResponse tells a back end's response from a gate's rejection and checks that it is
-// complete and belongs to this call.
+// readGateResponse distinguishes a back end's response from a gate's rejection, and checks that the
+// response is complete and belongs to this call.
 func (g *gatedCall) readGateResponse(ticket *balancer.Ticket, response *http.Response) (*http.Response, *gateFailure) {
 	report, reported := exchange.ReadReport(response.Header)
 	if reported {
@@ -161,7 +161,7 @@
 			request.Body = g.handler.config.Pacer.Body(request.Body, g.body.Size(), g.bodyTransferTime())
 		}
 	}
-	if g.body.Empty() && g.safe {
+	if g.body.Empty() && g.repeatable {
 		request.Body, request.ContentLength = nil, 0
 	}
 	return request
--- a/pkg/forward/gated.go
+++ b/pkg/forward/gated.go
@@ -88,7 +88,7 @@
 func (c *call) now() time.Duration { return c.handler.config.Now() }
 
 // attemptGate sends the call to one gate. It returns again if another one should be attempted,
-// otherwise the refusal, nil if the caller has got a response.
+// otherwise the refusal, nil if the caller received a response.
 func (g *gatedCall) attemptGate(ctx context.Context) (refusal *Refusal, again bool) {
 	now := g.now()
 	if ctx.Err() != nil {
@@ -234,7 +234,7 @@
 		final := failure.reason == exchange.ReasonDeadline || failure.reason == exchange.ReasonQuarantined
 		return !noMoreWaits && !final
 	}
-	if failure.outcome != NotRun && !g.safe {
+	if failure.outcome != NotRun && !g.repeatable {
 		return false
 	}
 	return g.withdrawRetry()
@@ -292,7 +292,7 @@
 // no later attempt succeeds.
 func (g *gatedCall) mayRetryServerError(ctx context.Context, ticket *balancer.Ticket, response *http.Response) bool {
 	body, _ := response.Body.(bufferedBody)
-	if !body.complete || !g.safe || !g.canAttemptAnother(ctx) || !g.withdrawRetry() {
+	if !body.complete || !g.repeatable || !g.canAttemptAnother(ctx) || !g.withdrawRetry() {
 		return false
 	}
 	g.closeHeldResponse()
--- a/pkg/forward/gated_test.go
+++ b/pkg/forward/gated_test.go
@@ -139,7 +139,7 @@
 	}
 }
 
-// An unknown outcome is retried only if the call is safe and the budget allows it.
+// An unknown outcome is retried only if the call is repeatable and the budget allows it.
 func TestUnknownOutcomeIsRetriedOnlyIfSafeAndWithinBudget(t *testing.T) {
 	for name, test := range map[string]struct {
 		path     string
@@ -275,7 +275,7 @@
 	_, _ = io.WriteString(w, "failed")
 }
 
-// A server error is retried at another gate if the call is safe and the budget allows it; otherwise
+// A server error is retried at another gate if the call is repeatable and the budget allows it; otherwise
 // the caller gets the response unchanged.
 func TestServerErrorsOfSafeCallsAreRetried(t *testing.T) {
 	for _, c := range []struct {
--- a/pkg/forward/handler.go
+++ b/pkg/forward/handler.go
@@ -29,10 +29,12 @@
 	maxAttempts = 3
 	// maxSlotWait limits how long after its arrival a call waits for a free back end, over all
 	// attempts; slotWaitDivisor limits it to a part of the time until the deadline.
-	maxSlotWait      = 100 * time.Millisecond
-	slotWaitDivisor  = 8
-	dialTimeout      = time.Second
-	idleTimeout      = 30 * time.Second
+	maxSlotWait     = 100 * time.Millisecond
+	slotWaitDivisor = 8
+	dialTimeout     = time.Second
+	idleTimeout     = 30 * time.Second
+	// saturatedRetry is the Retry-After if all back ends are at their limit, unavailableRetry that of
+	// rejections without an estimate.
 	saturatedRetry   = time.Second
 	unavailableRetry = 2 * time.Second
 	// unconfirmedRetry is the Retry-After of a node whose configuration is unconfirmed; it covers a
@@ -57,8 +59,8 @@
 	Headers settings.Headers
 	// Service is the service of the node's own callers.
 	Service string
-	// GateAddress is the address of the node's own gate. Gate, if set, handles its calls in the process
-	// instead of over a connection, with the buffered part of their bodies.
+	// GateAddress is the address of the node's own gate. Gate, if set, is called directly for calls to
+	// the own gate, without a connection; its second argument is the buffered part of the request body.
 	GateAddress string
 	Gate        func(*http.Request, *exchange.Body) *http.Response
 	// Sender, if set, returns the load report of the back end beside the node for calls to other nodes.
@@ -292,8 +294,9 @@
 	deadline      time.Duration
 	// watched is set if the call, to a back end without a gate, matched a suspect when it arrived.
 	watched bool
-	// safe calls may be retried whatever the outcome of earlier attempts.
-	safe bool
+	// repeatable is set if the call may run more than once, so that it may be retried whatever the
+	// outcome of earlier attempts.
+	repeatable bool
 	// attempts counts the attempts that reached a back end; without gates also failed connections.
 	attempts    int
 	record      Record
@@ -352,7 +355,7 @@
 	}
 	c.targetService = route.Pick(rand.Float64())
 	c.service = current.services[c.targetService]
-	c.safe = mayRepeat(route, c.request.Method)
+	c.repeatable = mayRepeat(route, c.request.Method)
 	timeout := c.timeout()
 	if timeout <= 0 {
 		return &Refusal{Outcome: NotRun, Step: "deadline", Reason: "the deadline has passed", Status: http.StatusGatewayTimeout}
@@ -362,7 +365,7 @@
 	if refusal := c.limitBody(current.table.Limits.MaxBodyBytes); refusal != nil {
 		return refusal
 	}
-	if refusal := c.outlastsProcess(); refusal != nil {
+	if refusal := c.rejectIfOutlastsProcess(); refusal != nil {
 		return refusal
 	}
 	if refusal := c.chargeQuota(); refusal != nil {
@@ -433,8 +436,8 @@
 	return nil
 }
 
-// outlastsProcess rejects a call that might outlast the process.
-func (c *call) outlastsProcess() *Refusal {
+// rejectIfOutlastsProcess rejects a call whose deadline is after the process stops.
+func (c *call) rejectIfOutlastsProcess() *Refusal {
 	if c.handler.config.StopsAt == nil {
 		return nil
 	}
@@ -523,7 +526,7 @@
 		return false
 	}
 	permitted := MayRetry(Situation{
-		Outcome: failure.outcome, Safe: c.safe, BodyWhole: c.body.repeatable(),
+		Outcome: failure.outcome, Safe: c.repeatable, BodyWhole: c.body.replayable(),
 		RetriedBefore: c.request.Header.Get(HeaderRetry) != "",
 		Attempts:      c.attempts, OutOfTime: ctx.Err() != nil,
 	})
--- a/pkg/forward/handler_test.go
+++ b/pkg/forward/handler_test.go
@@ -265,7 +265,7 @@
 	is.NoErr(err)
 	is.True(passed > 0 && passed <= 80)
 	response = send(t, server, http.MethodPost, "/x", http.Header{HeaderTimeout: {"0"}}, "x")
-	is.Equal(outcome(response), string(NotRun)) // too late to begin
+	is.Equal(outcome(response), string(NotRun)) // the deadline has passed
 }
 
 func TestRejectionsAreImmediateWithRetryAfter(t *testing.T) {
--- a/pkg/forward/headers.go
+++ b/pkg/forward/headers.go
@@ -27,7 +27,8 @@
 	Unknown = exchange.Unknown
 )
 
-// Refusal is the body of a response that the node generates itself.
+// Refusal is a response that the node generates itself. Its JSON form is the body; the fields without
+// one become the status line and the Retry-After header.
 type Refusal struct {
 	Outcome Outcome `json:"outcome"`
 	// Step is where the call failed, Peer the address of the back end or gate, if one was involved.
@@ -35,7 +36,7 @@
 	Peer   string `json:"peer,omitempty"`
 	Reason string `json:"reason"`
 	Status int    `json:"-"`
-	// RetryAfter is sent in the header of this name unless it is zero.
+	// RetryAfter is sent in the Retry-After header unless it is zero.
 	RetryAfter time.Duration `json:"-"`
 	// Fractions allows fractions of a second in Retry-After.
 	Fractions bool `json:"-"`
--- a/pkg/forward/large_response_test.go
+++ b/pkg/forward/large_response_test.go
@@ -29,7 +29,7 @@
 		})
 		n := newGatedNode(t, 0, gate)
 		is.Equal(n.call(t, "GET", "/safe/x", "").StatusCode, http.StatusOK)
-		is.Equal(*expected.Load(), "") // nothing is known yet
+		is.Equal(*expected.Load(), "") // the response size is not known yet
 		is.Equal(n.call(t, "GET", "/safe/x", "", exchange.HeaderExpectedAnswer, "7").StatusCode, http.StatusOK)
 		is.Equal(*expected.Load(), wantHeader) // the caller's header is dropped
 	}
--- a/pkg/forward/quarantine.go
+++ b/pkg/forward/quarantine.go
@@ -11,9 +11,9 @@
 	"bramblelift/pkg/quarantine"
 )
 
-// crashProbeTimeout limits the check whether a back end without a gate still listens after a failed
+// crashCheckTimeout bounds the check whether a back end without a gate still listens after a failed
 // exchange. It allows for several round trips between regions; a retry waits for the check.
-const crashProbeTimeout = 250 * time.Millisecond
+const crashCheckTimeout = 250 * time.Millisecond
 
 // quarantineRetry is the Retry-After of quarantined requests: short compared to a quarantine, long
 // for a caller.
@@ -21,22 +21,22 @@
 
 // matchQuarantine looks the call up in the watchlist, with the buffered part of its body.
 func (c *call) matchQuarantine(body []byte) quarantine.Match {
-	return c.handler.config.Quarantine.Look(c.request, body, c.way())
+	return c.handler.config.Quarantine.Look(c.request, body, c.callerAndService())
 }
 
-// way returns the pair of caller and target service, the unit for which responses to a suspect are tracked.
-func (c *call) way() quarantine.Way {
+// callerAndService returns the pair for which responses to a suspect are tracked.
+func (c *call) callerAndService() quarantine.Way {
 	return quarantine.Way{Caller: c.handler.config.Service, Service: c.targetService}
 }
 
 // reportCrash reports a crash of a back end without a gate during the call. Restarts within one
 // incarnation count once.
 func (c *call) reportCrash(ctx context.Context, ticket *balancer.Ticket, cause error) {
-	if c.handler.config.OnEnded == nil || !exchange.BackendEnded(ctx, ticket.Address, cause, crashProbeTimeout) {
+	if c.handler.config.OnEnded == nil || !exchange.BackendEnded(ctx, ticket.Address, cause, crashCheckTimeout) {
 		return
 	}
 	c.handler.config.OnEnded(quarantine.End{
-		Request: quarantine.Of(c.request, c.body.data), Instance: fmt.Sprintf("%s/%d", ticket.ID, ticket.Incarnation), Way: c.way(),
+		Request: quarantine.Of(c.request, c.body.data), Instance: fmt.Sprintf("%s/%d", ticket.ID, ticket.Incarnation), Way: c.callerAndService(),
 		Watched: c.watched,
 	})
 }
@@ -47,7 +47,7 @@
 		return
 	}
 	if match := c.matchQuarantine(c.body.data); match.Standing != quarantine.Unsuspected && !match.Answered {
-		c.handler.config.OnAnswered(quarantine.Answer{Request: match.Request, Way: c.way()})
+		c.handler.config.OnAnswered(quarantine.Answer{Request: match.Request, Way: c.callerAndService()})
 	}
 }
 
--- a/pkg/forward/quarantine_test.go
+++ b/pkg/forward/quarantine_test.go
@@ -108,7 +108,7 @@
 	is := is.New(t)
 	var mu sync.Mutex
 	var crashes []quarantine.End
-	var answers []quarantine.Answer
+	var responses []quarantine.Answer
 	filter := &quarantine.Filter{}
 	serve := func(addresses ...string) *httptest.Server {
 		started := time.Now()
@@ -120,7 +120,7 @@
 				defer mu.Unlock()
 				crashes = append(crashes, crash)
 			},
-			OnAnswered: func(answer quarantine.Answer) { answers = append(answers, answer) },
+			OnAnswered: func(answer quarantine.Answer) { responses = append(responses, answer) },
 		})
 		handler.SetTable(newTable(addresses...))
 		server := httptest.NewServer(handler)
@@ -155,7 +155,7 @@
 	server = serve(address)
 	filter.Set(watchlist(server, false))
 	is.Equal(sendCall(server).StatusCode, http.StatusOK)
-	is.Equal(len(answers), 1)
+	is.Equal(len(responses), 1)
 	filter.Set(watchlist(server, true))
 	rejected := sendCall(server)
 	is.Equal(rejected.StatusCode, http.StatusServiceUnavailable)
--- a/pkg/forward/region_delays.go
+++ b/pkg/forward/region_delays.go
@@ -77,8 +77,8 @@
 }
 
 // recordRegionDelay records the network delay of a call to another region.
-func (g *gatedCall) recordRegionDelay(ticket *balancer.Ticket, sent time.Duration, answer http.Header) {
-	held, reported := exchange.ReadMicros(answer, exchange.HeaderHeld)
+func (g *gatedCall) recordRegionDelay(ticket *balancer.Ticket, sent time.Duration, header http.Header) {
+	held, reported := exchange.ReadMicros(header, exchange.HeaderHeld)
 	if region := ticket.FarRegion(); reported && region != "" {
 		now := g.now()
 		g.handler.regionDelays.record(region, now, max(0, now-sent-held))
--- a/pkg/forward/retry_after.go
+++ b/pkg/forward/retry_after.go
@@ -8,20 +8,20 @@
 
 // Parameters of Retry-After for calls that have not run.
 const (
-	// gateRetryDivisor divides the time left to give Retry-After.
+	// gateRetryDivisor divides the time left until the deadline to get Retry-After.
 	gateRetryDivisor = 3
 	minGateRetry     = 20 * time.Millisecond
 	maxGateRetry     = 2 * time.Second
-	// maxRandomFailing is the ratio of failed calls up to which a decline counts as random, so that a
+	// maxRandomFailureRate is the ratio of failed calls up to which a decline counts as random, so that a
 	// retry will probably succeed.
-	maxRandomFailing = 0.75
+	maxRandomFailureRate = 0.75
 )
 
 // retryAfter returns when the caller should retry. After a random decline by a back end with a free
-// slot that is at once. Otherwise it is a fraction of the time left, or the link wait that a gate
+// slot it returns minGateRetry. Otherwise it is a fraction of the time left, or the link wait that a gate
 // reported.
 func (g *gatedCall) retryAfter(now time.Duration) time.Duration {
-	if g.lastReason == exchange.ReasonDeclined && g.service.pool.MeanFailing(now) <= maxRandomFailing {
+	if g.lastReason == exchange.ReasonDeclined && g.service.pool.MeanFailing(now) <= maxRandomFailureRate {
 		return minGateRetry
 	}
 	left := g.deadline - now
--- a/pkg/forward/retry_after_test.go
+++ b/pkg/forward/retry_after_test.go
@@ -22,11 +22,11 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// decliningGate is a gate with free capacity whose back end declines calls, and which reports the ratio
-// of failed calls.
-func decliningGate(reason exchange.Reason, failing float64) http.HandlerFunc {
+// decliningGate is a gate with free capacity whose back end declines calls, and which reports
+// failureRate.
+func decliningGate(reason exchange.Reason, failureRate float64) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
-		exchange.Report{Running: 3, Capacity: 8, Service: 10 * time.Millisecond, Failing: failing}.Set(w.Header())
+		exchange.Report{Running: 3, Capacity: 8, Service: 10 * time.Millisecond, Failing: failureRate}.Set(w.Header())
 		rejectWith(reason, NotRun)(w, nil)
 	}
 }
@@ -35,9 +35,9 @@
 // succeed.
 func TestRetryAfterIsMinimalAfterRandomDeclines(t *testing.T) {
 	for name, test := range map[string]struct {
-		reason  exchange.Reason
-		failing float64
-		soon    bool
+		reason      exchange.Reason
+		failureRate float64
+		soon        bool
 	}{
 		"declines half":       {exchange.ReasonDeclined, 0.5, true},
 		"declines nearly all": {exchange.ReasonDeclined, 0.9, false},
@@ -45,7 +45,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			gate, _ := fakeGate(t, decliningGate(test.reason, test.failing))
+			gate, _ := fakeGate(t, decliningGate(test.reason, test.failureRate))
 			after := retryAfter(t, newGatedNode(t, 0, gate).call(t, "GET", "/safe/x", "", "Left-Ms", "300"))
 			is.Equal(after <= 25*time.Millisecond, test.soon)
 			is.True(after <= 110*time.Millisecond)
--- a/pkg/forward/retry_rule.go
+++ b/pkg/forward/retry_rule.go
@@ -4,7 +4,7 @@
 type Situation struct {
 	// Outcome states whether the attempt may have run.
 	Outcome Outcome
-	// Safe is set if the call may run twice.
+	// Safe is set if the call is repeatable, that is, may run more than once.
 	Safe bool
 	// BodyWhole is set if the body can be sent again.
 	BodyWhole bool
@@ -16,7 +16,7 @@
 }
 
 // MayRetry reports whether another attempt is permitted, subject to the retry budget. A call that may
-// have run is retried only if it is safe.
+// have run is retried only if it is repeatable.
 func MayRetry(s Situation) bool {
 	if s.OutOfTime || s.Attempts >= maxAttempts {
 		return false
--- a/pkg/forward/rollout_test.go
+++ b/pkg/forward/rollout_test.go
@@ -29,7 +29,7 @@
 	header  http.Header
 }
 
-func newVersionGate(t *testing.T) *versionGate {
+func startVersionGate(t *testing.T) *versionGate {
 	t.Helper()
 	g := &versionGate{status: http.StatusOK}
 	g.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -62,9 +62,9 @@
 	calls     int
 }
 
-func newVersionNode(t *testing.T) *versionNode {
+func startVersionNode(t *testing.T) *versionNode {
 	t.Helper()
-	n := &versionNode{old: newVersionGate(t), new: newVersionGate(t)}
+	n := &versionNode{old: startVersionGate(t), new: startVersionGate(t)}
 	started := time.Now()
 	now := func() time.Duration { return time.Since(started) + time.Hour }
 	n.handler = New(Config{
@@ -121,7 +121,7 @@
 
 func TestNewVersionReceivesItsShare(t *testing.T) {
 	is := is.New(t)
-	n := newVersionNode(t)
+	n := startVersionNode(t)
 	n.setRollout(nil)
 	_, _, succeeded := n.callGates(t, 20)
 	is.Equal(succeeded, 20)
@@ -151,7 +151,7 @@
 // A call that the gates of one version reject goes to the other version.
 func TestRejectedCallsGoToTheOtherVersion(t *testing.T) {
 	is := is.New(t)
-	n := newVersionNode(t)
+	n := startVersionNode(t)
 	n.setRollout(rolloutAt(rollout.Running, rollout.Thousandths))
 	n.new.rejects = exchange.ReasonVersion
 	_, _, succeeded := n.callGates(t, 20)
@@ -165,7 +165,7 @@
 // A node without recent confirmation from control sends no calls to the new version.
 func TestStaleNodeAvoidsTheNewVersion(t *testing.T) {
 	is := is.New(t)
-	n := newVersionNode(t)
+	n := startVersionNode(t)
 	n.setRollout(rolloutAt(rollout.Running, 500))
 	n.stale.Store(int64(2 * time.Second))
 	_, new, succeeded := n.callGates(t, 40)
@@ -176,7 +176,7 @@
 // A node avoids a failing version before control reverts it, and retries elsewhere.
 func TestNodeAvoidsAFailingVersion(t *testing.T) {
 	is := is.New(t)
-	n := newVersionNode(t)
+	n := startVersionNode(t)
 	n.new.status = http.StatusInternalServerError
 	n.setRollout(rolloutAt(rollout.Running, 500))
 	n.callGates(t, 60)
--- a/pkg/forward/service_times_test.go
+++ b/pkg/forward/service_times_test.go
@@ -13,15 +13,15 @@
 	w := newServiceTimes()
 	const usual, slow = 24 * time.Millisecond, 240 * time.Millisecond
 	w.record("check", slow, 1000)
-	work, answer := w.get("check")
+	work, responseBytes := w.get("check")
 	is.Equal(work, slow)
-	is.Equal(answer, 1000)
+	is.Equal(responseBytes, 1000)
 	for range 9 {
 		w.record("check", usual, 1000)
 	}
-	work, answer = w.get("check")
+	work, responseBytes = w.get("check")
 	is.True(work < 50*time.Millisecond) // the mean of ten, 46 ms
-	is.Equal(answer, 1000)
+	is.Equal(responseBytes, 1000)
 	for range 500 {
 		w.record("check", usual, 1000)
 	}
--- a/pkg/forward/tenants.go
+++ b/pkg/forward/tenants.go
@@ -99,9 +99,9 @@
 
 // unknownTenant rejects a call whose key identifies no tenant. An unknown key is rejected permanently
 // only if the configuration was confirmed recently.
-func (h *Handler) unknownTenant(shownKey credential) *Refusal {
-	if shownKey.fault != "" {
-		return &Refusal{Outcome: NotRun, Step: "key", Reason: shownKey.fault, Status: http.StatusUnauthorized}
+func (h *Handler) unknownTenant(cred credential) *Refusal {
+	if cred.fault != "" {
+		return &Refusal{Outcome: NotRun, Step: "key", Reason: cred.fault, Status: http.StatusUnauthorized}
 	}
 	return h.retryableIfStale(&Refusal{Outcome: NotRun, Step: "key", Reason: faultUnknownKey, Status: http.StatusUnauthorized})
 }
--- a/pkg/forward/tenants_test.go
+++ b/pkg/forward/tenants_test.go
@@ -306,7 +306,7 @@
 	is.Equal(outcome(response), string(NotRun))
 	after, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
 	is.NoErr(err)
-	is.True(after >= minGateRetry.Seconds() && after <= 0.2) // while the target of 200 ms can be met
+	is.True(after >= minGateRetry.Seconds() && after <= 0.2) // the retry must come while the 200 ms target can still be met
 	is.Equal(gate.calls.Load(), int64(1))
 	is.Equal(n.call(t, "GET", "/safe/x", "", "Api-Key", keyOne).StatusCode, http.StatusOK) // it has no limit
 	is.Equal(n.quotas.returned.Load(), int64(0))
