--- a/pkg/balancer/cold_test.go
+++ b/pkg/balancer/cold_test.go
@@ -55,7 +55,7 @@
 	is.NoErr(err)
 	is.Equal(wait, request.Patience) // the gate may queue the call
 	counts := countAcquired(t, p, 0, 5, request)
-	is.Equal(counts["a"]+counts["b"], 5) // with the first call, three each: at 0, 50 and 100 ms
+	is.Equal(counts["a"]+counts["b"], 5) // including the first call, each back end admits three: at 0, 50 and 100 ms
 	_, _, err = p.AcquireGate(0, request)
 	var cold *ColdError
 	is.True(errors.As(err, &cold))
--- a/pkg/balancer/distance_test.go
+++ b/pkg/balancer/distance_test.go
@@ -91,7 +91,7 @@
 	is.True(unavailableCount <= ownZoneSubset) // the other slots hold available back ends
 }
 
-// Spared regions get only calls that the own region may not serve, even if the own region is saturated.
+// Regions in Spared get only calls that the own region may not serve, even if the own region is saturated.
 func TestSparedRegionsGetOnlyCallsRestrictedToThem(t *testing.T) {
 	is := is.New(t)
 	p := eastPool(multiRegionService(3))
--- a/pkg/balancer/failure_rate.go
+++ b/pkg/balancer/failure_rate.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// MeanFailing returns the mean failure rate (calls failed or rejected, 0 to 1) over all back ends whose
-// gates have reported; zero if none has.
+// MeanFailing returns the mean failure rate (calls failed or rejected, 0 to 1) over all back ends that are
+// not leaving and whose gates have reported; zero if none has.
 func (p *Pool) MeanFailing(now time.Duration) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/pkg/balancer/gated.go
+++ b/pkg/balancer/gated.go
@@ -321,7 +321,7 @@
 	}
 }
 
-// Avoid ejects the back end for at least pause, unless too few would remain.
+// Avoid ejects the back end for at least pause. The ejection is ignored while too few usable back ends remain.
 func (t *Ticket) Avoid(now, pause time.Duration) {
 	t.pool.mu.Lock()
 	defer t.pool.mu.Unlock()
@@ -335,7 +335,7 @@
 	t.pool.markLeaving(t.endpoint)
 }
 
-// LeftOut returns list with the ticket's back end added, if it is not in it.
+// LeftOut returns list, to which the ID of the ticket's back end is appended unless it is there.
 func (t *Ticket) LeftOut(list []string) []string {
 	if slices.Contains(list, t.ID) {
 		return list
--- a/pkg/balancer/refused.go
+++ b/pkg/balancer/refused.go
@@ -8,8 +8,8 @@
 	"bramblelift/pkg/exchange"
 )
 
-// noEndpointError returns ErrNoEndpoint, wrapped with the number of back ends refused for each reason; the mutex
-// is held.
+// noEndpointError returns ErrNoEndpoint, wrapped with the number of back ends that the table excludes for each
+// reason; the mutex is held.
 func (p *Pool) noEndpointError() error {
 	var reasons []exchange.Reason
 	counts := map[exchange.Reason]int{}
