--- a/pkg/link/delay.go
+++ b/pkg/link/delay.go
@@ -17,7 +17,8 @@
 	// which the smoothed delay is ignored, so that the path is used again.
 	delayHalfLife = 300 * time.Millisecond
 	delayMaxAge   = 2 * time.Second
-	// baseWindow is the window over which the base delay is the minimum, so that it follows route changes.
+	// baseWindow is the length of a window. The base delay is the minimum round-trip time of the current and the
+	// previous window, so that it follows route changes.
 	baseWindow = time.Minute
 )
 
--- a/pkg/link/meter.go
+++ b/pkg/link/meter.go
@@ -39,19 +39,20 @@
 	rateHalfLife = 500 * time.Millisecond
 )
 
-// Meter counts the bytes of connections. It is safe for concurrent use. A nil Meter counts nothing.
+// Meter counts the bytes of connections. It is safe for concurrent use. A nil Meter may wrap connections and
+// listeners and reports rates of zero; its counters must not be read.
 type Meter struct {
 	// capacity is the link's capacity in bytes per second in each direction, zero if unknown.
 	capacity       float64
 	received, sent [peerCount]atomic.Int64
-	// requestedBodies counts the received bytes of large bodies that the node requested.
-	requestedBodies atomic.Int64
+	// scheduledBodies counts the received bytes of large request bodies whose transfer the node's gate scheduled.
+	scheduledBodies atomic.Int64
 	// largeResponses counts the sent bytes of large responses, reserved those for which the node's gate
 	// had reserved the link.
 	largeResponses, reserved atomic.Int64
 
 	mu                                        sync.Mutex
-	in, out, unrequested, unreserved, unpaced rate
+	in, out, unscheduled, unreserved, unpaced rate
 }
 
 // NewMeter returns a meter for a link with a capacity of bitsPerSecond in each direction, zero if unknown.
@@ -71,26 +72,27 @@
 // Sent returns the bytes sent to a kind of peer.
 func (m *Meter) Sent(p Peer) int64 { return m.sent[p].Load() }
 
-// BodyReceived records that size of the received bytes were a large body that the node requested.
+// BodyReceived records that size of the received bytes were a large request body whose transfer the node's gate
+// scheduled.
 func (m *Meter) BodyReceived(size int64) {
 	if m != nil {
-		m.requestedBodies.Add(size)
+		m.scheduledBodies.Add(size)
 	}
 }
 
-// UnaskedRate returns the receive rate in bytes per second without large bodies that the node requested. The
-// current time now is on the process's monotonic clock.
+// UnaskedRate returns the receive rate in bytes per second without large request bodies whose transfer the
+// node's gate scheduled. The current time now is on the process's monotonic clock.
 func (m *Meter) UnaskedRate(now time.Duration) float64 {
 	if m == nil {
 		return 0
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.unrequested.sample(now, sum(&m.received)-m.requestedBodies.Load())
+	return m.unscheduled.sample(now, sum(&m.received)-m.scheduledBodies.Load())
 }
 
-// Answer wraps the body of a large response to count its bytes as they are sent. Reserved says whether the
-// node's gate has reserved the link for it.
+// Answer wraps the body of a large response to count its bytes as they are sent; reserved is set if the node's
+// gate has reserved the link for it.
 func (m *Meter) Answer(body io.ReadCloser, reserved bool) io.ReadCloser {
 	if m == nil {
 		return body
@@ -120,11 +122,11 @@
 	return n, err
 }
 
-// AnswersSent returns the bytes of large responses sent.
+// AnswersSent returns the number of bytes of large responses sent.
 func (m *Meter) AnswersSent() int64 { return m.largeResponses.Load() }
 
-// BodiesReceived returns the bytes received of large bodies that the node requested.
-func (m *Meter) BodiesReceived() int64 { return m.requestedBodies.Load() }
+// BodiesReceived returns the bytes received of large request bodies whose transfer the node's gate scheduled.
+func (m *Meter) BodiesReceived() int64 { return m.scheduledBodies.Load() }
 
 // UnbookedRate returns the send rate in bytes per second without large responses for which the gate reserved
 // the link. The current time now is on the process's monotonic clock.
--- a/pkg/link/meter_test.go
+++ b/pkg/link/meter_test.go
@@ -37,11 +37,11 @@
 	is.True(err != nil)
 }
 
-// UnaskedRate must not include requested bodies.
-func TestUnaskedRateExcludesRequestedBodies(t *testing.T) {
+// UnaskedRate must not include large bodies that the node's gate scheduled.
+func TestUnaskedRateExcludesScheduledBodies(t *testing.T) {
 	is := is.New(t)
 	var m Meter
-	for i := range 50 { // ten seconds of 100,000 bytes a second, half of them bodies
+	for i := range 50 { // ten seconds of 100,000 bytes a second, half of them scheduled bodies
 		m.received[Nodes].Add(20_000)
 		m.BodyReceived(10_000)
 		m.UnaskedRate(time.Duration(i+1) * 200 * time.Millisecond)
