--- a/pkg/pipeline/order.go
+++ b/pkg/pipeline/order.go
@@ -67,8 +67,9 @@
 	c.queueNotFull.Signal()
 }
 
-// canStart reports whether the next queued request may run. A closing connection starts another one only if no
-// response in flight announced the close.
+// canStart reports whether the next queued request may run. A closing connection starts a queued request only
+// when no other is running. After a response that announced the close, finish has already closed the sending
+// direction.
 func (c *conn) canStart(x *exchange) bool {
 	switch {
 	case c.writeClosed || c.closed:
--- a/pkg/pipeline/server.go
+++ b/pkg/pipeline/server.go
@@ -26,7 +26,8 @@
 	// MaxConcurrent bounds the requests of one connection that are handled at the same time; at least 1.
 	MaxConcurrent int
 	// HeaderTimeout bounds reading a head from its first byte, and each read of a body. IdleTimeout bounds the
-	// time without a request, WriteTimeout each write to a caller (zero means no limit).
+	// time without a request, WriteTimeout each write to a caller. For WriteTimeout alone zero
+	// means no limit.
 	HeaderTimeout time.Duration
 	IdleTimeout   time.Duration
 	WriteTimeout  time.Duration
