--- a/pkg/sim/backend.go
+++ b/pkg/sim/backend.go
@@ -13,40 +13,40 @@
 
 // Behaviour of simulated back ends.
 const (
-	backendSlots = 6
-	workTime     = 30 * time.Millisecond
-	// drainGrace is how long a leaving back end still takes calls while its
-	// answers say that it leaves.
+	backendCapacity = 6
+	serviceTime     = 30 * time.Millisecond
+	// drainGrace is how long a leaving back end still admits calls; its responses
+	// report meanwhile that it is leaving.
 	drainGrace = 3 * time.Second
 	resetDelay = 5 * time.Millisecond
 )
 
-// backend is one incarnation of a simulated back end.
+// backend is a simulated back end. Each restart gives it a new incarnation.
 type backend struct {
 	process
-	service     string
-	incarnation uint64
-	busy        int
-	leavingAt   time.Duration
-	leaving     bool
-	lies        bool
-	// underWay are the calls begun and not yet answered, in order.
-	underWay []begunCall
+	service          string
+	incarnation      uint64
+	slotsInUse       int
+	leavingSince     time.Duration
+	leaving          bool
+	reportsFalseLoad bool
+	// inFlight holds the calls being executed, in order of arrival.
+	inFlight []executingCall
 }
 
-// begunCall is a call at work at a back end.
-type begunCall struct {
+// executingCall is a call that a back end is executing.
+type executingCall struct {
 	call   *simCall
 	ticket *balancer.Ticket
 }
 
-// backendSet is all back ends, by ID.
+// backendSet holds all back ends of the cluster.
 type backendSet struct {
 	cluster *cluster
 	all     []*backend
 }
 
-func (s *backendSet) named(id string) *backend {
+func (s *backendSet) byName(id string) *backend {
 	for _, b := range s.all {
 		if b.name == id {
 			return b
@@ -55,122 +55,123 @@
 	return nil
 }
 
-// call sends an attempt to a back end.
-func (s *backendSet) call(c *simCall, ticket *balancer.Ticket) {
+// sendAttempt sends one attempt of a call to the back end of its ticket.
+func (s *backendSet) sendAttempt(c *simCall, ticket *balancer.Ticket) {
 	n := c.node
-	b := s.named(ticket.ID)
+	b := s.byName(ticket.ID)
 	s.cluster.observeAttempt(n, ticket)
-	if !s.cluster.network.reaches(&n.process, &b.process) {
-		n.later(dialTimeout, func() { c.failed(ticket, balancer.Failed, forward.NotRun) })
+	if !s.cluster.network.canReach(&n.process, &b.process) {
+		n.afterLocal(dialTimeout, func() { c.attemptFailed(ticket, balancer.Failed, forward.NotRun) })
 		return
 	}
 	if !b.alive {
-		n.later(resetDelay, func() { c.failed(ticket, balancer.Failed, forward.NotRun) })
+		n.afterLocal(resetDelay, func() { c.attemptFailed(ticket, balancer.Failed, forward.NotRun) })
 		return
 	}
 	incarnation := b.incarnation
-	s.cluster.world.after(s.cluster.network.delay(&n.process, &b.process), func() {
+	s.cluster.simulation.after(s.cluster.network.delay(&n.process, &b.process), func() {
 		if !b.alive || b.incarnation != incarnation {
-			s.answer(c, b, func() { c.failed(ticket, balancer.Failed, forward.Unknown) })
+			s.respond(c, b, func() { c.attemptFailed(ticket, balancer.Failed, forward.Unknown) })
 			return
 		}
-		b.guarded(func() { s.arrive(c, b, ticket) })()
+		b.ifRunning(func() { s.handleAttempt(c, b, ticket) })()
 	})
 }
 
-// answer carries a back end's word to the node, if it gets through.
-func (s *backendSet) answer(c *simCall, b *backend, deliver func()) {
+// respond delivers a back end's response to the node, unless the network drops it or
+// the node has restarted since the call began.
+func (s *backendSet) respond(c *simCall, b *backend, deliver func()) {
 	n := c.node
-	if !s.cluster.network.reaches(&b.process, &n.process) {
+	if !s.cluster.network.canReach(&b.process, &n.process) {
 		return
 	}
-	if n.generation != c.life {
+	if n.generation != c.nodeGeneration {
 		return
 	}
-	s.cluster.world.after(s.cluster.network.delay(&b.process, &n.process), n.guarded(deliver))
+	s.cluster.simulation.after(s.cluster.network.delay(&b.process, &n.process), n.ifRunning(deliver))
 }
 
-func (s *backendSet) arrive(c *simCall, b *backend, ticket *balancer.Ticket) {
-	w := s.cluster.world
+func (s *backendSet) handleAttempt(c *simCall, b *backend, ticket *balancer.Ticket) {
+	sim := s.cluster.simulation
 	leaving := b.leaving
-	past := leaving && w.now > b.leavingAt+drainGrace
-	if b.busy >= backendSlots || past {
-		s.answer(c, b, func() {
-			s.report(c.node, b, ticket, leaving)
-			c.failed(ticket, balancer.Refused, forward.NotRun)
+	drainExpired := leaving && sim.now > b.leavingSince+drainGrace
+	if b.slotsInUse >= backendCapacity || drainExpired {
+		s.respond(c, b, func() {
+			s.reportLoad(c.node, b, ticket, leaving)
+			c.attemptFailed(ticket, balancer.Refused, forward.NotRun)
 		})
 		return
 	}
-	b.busy++
-	begun := begunCall{call: c, ticket: ticket}
-	b.underWay = append(b.underWay, begun)
+	b.slotsInUse++
+	executing := executingCall{call: c, ticket: ticket}
+	b.inFlight = append(b.inFlight, executing)
 	s.cluster.observeExecution(c.id, b)
-	b.later(w.between(workTime/2, workTime*2), func() {
-		b.busy--
-		b.underWay = slices.DeleteFunc(b.underWay, func(other begunCall) bool { return other == begun })
-		s.answer(c, b, func() {
-			s.report(c.node, b, ticket, leaving)
+	b.afterLocal(sim.between(serviceTime/2, serviceTime*2), func() {
+		b.slotsInUse--
+		b.inFlight = slices.DeleteFunc(b.inFlight, func(other executingCall) bool { return other == executing })
+		s.respond(c, b, func() {
+			s.reportLoad(c.node, b, ticket, leaving)
 			if c.ticket == ticket {
-				c.release(balancer.Answered)
-				c.end("", true)
+				c.releaseTicket(balancer.Answered)
+				c.finish("", true)
 			}
 		})
 	})
 }
 
-// crash ends a back end. The connections of the calls at work there are reset, so their
-// nodes learn soon that they broke, and not whether they ran.
+// crash stops a back end and resets the connections of the calls that it was executing.
+// Their nodes learn that the connection broke, but not whether the call ran.
 func (s *backendSet) crash(b *backend) {
-	broken := b.underWay
-	b.underWay = nil
-	b.end()
-	for _, begun := range broken {
-		s.answer(begun.call, b, func() { begun.call.failed(begun.ticket, balancer.Failed, forward.Unknown) })
+	interrupted := b.inFlight
+	b.inFlight = nil
+	b.endRun()
+	for _, executing := range interrupted {
+		s.respond(executing.call, b, func() { executing.call.attemptFailed(executing.ticket, balancer.Failed, forward.Unknown) })
 	}
 }
 
-func (s *backendSet) report(n *node, b *backend, ticket *balancer.Ticket, leaving bool) {
-	load := float64(b.busy) / backendSlots
-	if b.lies {
+func (s *backendSet) reportLoad(n *node, b *backend, ticket *balancer.Ticket, leaving bool) {
+	load := float64(b.slotsInUse) / backendCapacity
+	if b.reportsFalseLoad {
 		load = 1 - load
 	}
 	ticket.Report(load, leaving)
 	if leaving {
-		n.toldLeaving[incarnationKey(ticket.ID, ticket.Incarnation)] = true
+		n.knownLeaving[incarnationKey(ticket.ID, ticket.Incarnation)] = true
 	}
 }
 
-// replace brings a back end back under a new incarnation.
-func (b *backend) replace() {
-	b.begin()
+// restart starts the back end again under a new incarnation.
+func (b *backend) restart() {
+	b.startRun()
 	b.incarnation++
-	b.busy = 0
+	b.slotsInUse = 0
 	b.leaving = false
 }
 
-// leave makes the back end say that it leaves.
-func (b *backend) leave() {
+// startLeaving makes the back end report in its responses that it is leaving.
+func (b *backend) startLeaving() {
 	b.leaving = true
-	b.leavingAt = b.world.now
+	b.leavingSince = b.simulation.now
 }
 
 var errPlatformDown = errors.New("platform list is down")
 
-// simPlatform serves the list of back ends, late.
+// simPlatform serves the platform's list of back ends with a delay of lag.
 type simPlatform struct {
 	cluster *cluster
 	lag     time.Duration
 	down    bool
-	history []timedList
+	history []listSnapshot
 }
 
-type timedList struct {
+type listSnapshot struct {
 	at   time.Duration
 	list machinelist.List
 }
 
-// record notes the list as it is now.
-func (p *simPlatform) record() {
+// recordList appends the current list of running back ends to the history.
+func (p *simPlatform) recordList() {
 	var list machinelist.List
 	for i, b := range p.cluster.backends.all {
 		if !b.alive {
@@ -181,7 +182,7 @@
 			Address: fmt.Sprintf("10.0.0.%d:80", i+1), Zone: b.zone, Leaving: b.leaving,
 		})
 	}
-	p.history = append(p.history, timedList{at: p.cluster.world.now, list: list})
+	p.history = append(p.history, listSnapshot{at: p.cluster.simulation.now, list: list})
 }
 
 func (p *simPlatform) list() (machinelist.List, error) {
@@ -190,7 +191,7 @@
 	}
 	var seen machinelist.List
 	for _, entry := range p.history {
-		if entry.at+p.lag <= p.cluster.world.now {
+		if entry.at+p.lag <= p.cluster.simulation.now {
 			seen = entry.list
 		}
 	}
--- a/pkg/sim/cluster.go
+++ b/pkg/sim/cluster.go
@@ -19,28 +19,29 @@
 
 // Sizes of a simulated system.
 const (
-	// firstControls is how many control replicas found the cluster.
-	firstControls = 3
-	nodesPerZone  = 2
-	backendCount  = 6
-	operatorCount = 2
-	controlPrefix = "control-"
+	// initialControls is the number of control replicas that create the cluster.
+	initialControls = 3
+	nodesPerZone    = 2
+	backendCount    = 6
+	operatorCount   = 2
+	controlPrefix   = "control-"
 )
 
-// groups are given to nodes in turn; the last is named by no route.
+// groups are assigned to the nodes in turn; no route names the last one as a source.
 var groups = []string{"orders", "prices", "other"}
 
-// cluster is a whole simulated system.
+// cluster is a simulated system: control replicas, relays, nodes, back ends, the
+// platform and operators.
 type cluster struct {
-	world    *world
-	network  *network
-	zones    []string
-	controls []*control
-	// grown is set if the replicas are more than those that founded the cluster.
-	grown        bool
-	controlsMade int
-	// gone are the replicas whose machines left for good.
-	gone     []*control
+	simulation *simulation
+	network    *network
+	zones      []string
+	controls   []*control
+	// expanded is set if there are more control replicas than initialControls.
+	expanded        bool
+	controlsCreated int
+	// retired holds the replicas whose machines were replaced by other machines.
+	retired  []*control
 	relays   []*relay
 	nodes    []*node
 	backends *backendSet
@@ -49,13 +50,13 @@
 	key      ed25519.PrivateKey
 
 	operators []*operatorClient
-	// healed is set once no fault strikes any more.
+	// healed is set once fault injection has ended.
 	healed bool
 	*observations
 }
 
-func newCluster(w *world, zones []string, zoneLatency time.Duration, controls int) (*cluster, error) {
-	c := &cluster{world: w, network: newNetwork(w, zoneLatency), zones: zones, observations: newObservations()}
+func newCluster(sim *simulation, zones []string, zoneLatency time.Duration, controls int) (*cluster, error) {
+	c := &cluster{simulation: sim, network: newNetwork(sim, zoneLatency), zones: zones, observations: newObservations()}
 	c.key = ed25519.NewKeyFromSeed([]byte(strings.Repeat("k", ed25519.SeedSize)))
 	public := base64.StdEncoding.EncodeToString(c.key.Public().(ed25519.PublicKey))
 	var err error
@@ -69,7 +70,7 @@
 		return nil, err
 	}
 	for _, zone := range zones {
-		r := &relay{process: newProcess(w, "relay-"+zone, zone, actualDrift), cluster: c}
+		r := &relay{process: newProcess(sim, "relay-"+zone, zone, actualDrift), cluster: c}
 		c.relays = append(c.relays, r)
 	}
 	c.addNodes()
@@ -85,24 +86,24 @@
 		if i%3 == 2 {
 			service = "prices"
 		}
-		b := &backend{process: newProcess(c.world, fmt.Sprintf("%s-%d", service, i), c.zones[i%len(c.zones)], 0), service: service, incarnation: 1}
-		b.begin()
+		b := &backend{process: newProcess(c.simulation, fmt.Sprintf("%s-%d", service, i), c.zones[i%len(c.zones)], 0), service: service, incarnation: 1}
+		b.startRun()
 		c.backends.all = append(c.backends.all, b)
 	}
-	c.platform.record()
+	c.platform.recordList()
 }
 
 func (c *cluster) addControls(count int) error {
-	c.grown = count > firstControls
+	c.expanded = count > initialControls
 	var members []raft.Member
 	for i := range count {
 		ctl := c.newControl(i)
 		c.controls = append(c.controls, ctl)
-		if i < firstControls {
+		if i < initialControls {
 			members = append(members, ctl.member())
 		}
 	}
-	for _, ctl := range c.controls[:firstControls] {
+	for _, ctl := range c.controls[:initialControls] {
 		if err := replica.CreateFirst(ctl.disk, clusterID, ctl.name, members); err != nil {
 			return err
 		}
@@ -110,19 +111,19 @@
 	return nil
 }
 
-// newControl makes a replica on an empty disk, under a name that none had before.
+// newControl returns a replica with an empty disk and a name that was not used before.
 func (c *cluster) newControl(index int) *control {
-	c.controlsMade++
-	name := fmt.Sprintf("%s%d", controlPrefix, c.controlsMade)
-	return &control{process: newProcess(c.world, name, c.zones[index%len(c.zones)], actualDrift), cluster: c, disk: newDisk(c.world)}
+	c.controlsCreated++
+	name := fmt.Sprintf("%s%d", controlPrefix, c.controlsCreated)
+	return &control{process: newProcess(c.simulation, name, c.zones[index%len(c.zones)], actualDrift), cluster: c, disk: newDisk(c.simulation)}
 }
 
 func (c *cluster) addNodes() {
 	for i := range nodesPerZone * len(c.zones) {
 		name := fmt.Sprintf("node-%d", i+1)
-		n := &node{process: newProcess(c.world, name, c.zones[i%len(c.zones)], actualDrift), cluster: c, group: groups[i%len(groups)]}
+		n := &node{process: newProcess(c.simulation, name, c.zones[i%len(c.zones)], actualDrift), cluster: c, group: groups[i%len(groups)]}
 		if i%2 == 0 {
-			n.disk = newDisk(c.world)
+			n.disk = newDisk(c.simulation)
 		}
 		c.nodes = append(c.nodes, n)
 	}
@@ -144,7 +145,7 @@
 }
 
 func (c *cluster) controlNamed(name string) *control {
-	for _, ctl := range slices.Concat(c.controls, c.gone) {
+	for _, ctl := range slices.Concat(c.controls, c.retired) {
 		if ctl.name == name {
 			return ctl
 		}
@@ -189,26 +190,26 @@
 
 func (c *cluster) selector(zone string, servers []*process) *stream.Selector {
 	config := stream.DefaultSelectorConfig()
-	config.Random = c.world.random.Float64
+	config.Random = c.simulation.random.Float64
 	return stream.NewSelector(config, candidatesOf(zone, servers))
 }
 
-// repaired reports whether some leader counts every voter as holding all that is
-// committed, there are as many voters as machines, and each machine's newest replica is
-// among them.
-func (c *cluster) repaired() bool {
+// fullyReplicated reports whether a replica with a valid lease counts every voter as
+// holding all committed entries, and the voters are exactly the replicas on the current
+// disks of all machines.
+func (c *cluster) fullyReplicated() bool {
 	for _, ctl := range c.controls {
 		if !ctl.alive || ctl.replica == nil || !ctl.replica.Node().LeaseValid(ctl.clock()) {
 			continue
 		}
 		n := ctl.replica.Node()
 		voters := len(n.Membership().Voters())
-		whole := len(n.Membership().Members) == len(c.controls) && voters == len(c.controls)
+		complete := len(n.Membership().Members) == len(c.controls) && voters == len(c.controls)
 		for _, other := range c.controls {
 			identity, err := storage.ReadIdentity(other.disk)
-			whole = whole && err == nil && n.Membership().IsVoter(identity.ReplicaID)
+			complete = complete && err == nil && n.Membership().IsVoter(identity.ReplicaID)
 		}
-		if whole && n.MembershipCommitted() && n.DurableCopies(ctl.clock()) == voters {
+		if complete && n.MembershipCommitted() && n.DurableCopies(ctl.clock()) == voters {
 			return true
 		}
 	}
--- a/pkg/sim/control.go
+++ b/pkg/sim/control.go
@@ -14,20 +14,20 @@
 	"bramblelift/pkg/stream"
 )
 
-// Timing of the simulated control replicas, as in the daemons.
+// Settings of the simulated control replicas, as in the daemons.
 const (
-	electionTimeout   = time.Second
-	heartbeatInterval = 200 * time.Millisecond
-	turnPause         = 100 * time.Millisecond
-	platformInterval  = settings.DefaultPlatformInterval
-	joinInterval      = time.Second
-	removeAfter       = 5 * time.Second
-	compactAfter      = 25
-	compactBytes      = 32 << 10
-	keepEntries       = 10
-	maxAppendBytes    = 1 << 16
-	assumedDrift      = 0.05
-	// actualDrift is what clocks really do; the lease allows for more.
+	electionTimeout    = time.Second
+	heartbeatInterval  = 200 * time.Millisecond
+	maxAdvanceInterval = 100 * time.Millisecond
+	platformInterval   = settings.DefaultPlatformInterval
+	joinInterval       = time.Second
+	removeAfter        = 5 * time.Second
+	compactAfter       = 25
+	compactBytes       = 32 << 10
+	keepEntries        = 10
+	maxAppendBytes     = 1 << 16
+	assumedDrift       = 0.05
+	// actualDrift is the maximum drift of simulated clocks; it stays below assumedDrift.
 	actualDrift = 0.04
 )
 
@@ -42,31 +42,32 @@
 
 	confirmedAt time.Duration
 	confirmed   bool
-	// leftForGood is set once another machine has taken this one's place.
-	leftForGood bool
-	waiting     map[replica.ProposalID]func(replica.Completion)
-	proposal    replica.ProposalID
-	// traced is the last line of the trace about the replica's state.
-	traced string
+	// decommissioned is set once another machine has replaced this one.
+	decommissioned bool
+	pending        map[replica.ProposalID]func(replica.Completion)
+	lastProposal   replica.ProposalID
+	// lastTraceLine is the last state of the replica that was written to the trace.
+	lastTraceLine string
 }
 
 func (c *control) member() raft.Member {
 	return raft.Member{Name: c.name, Address: c.name, Zone: c.zone}
 }
 
-// start runs the replica on what its disk holds; an empty disk joins as a new one.
+// start opens the replica from its disk. With an empty disk it asks to join the cluster
+// under a new replica ID.
 func (c *control) start() {
-	if c.alive || c.leftForGood {
+	if c.alive || c.decommissioned {
 		return
 	}
-	c.begin()
+	c.startRun()
 	if _, err := storage.ReadIdentity(c.disk); errors.Is(err, storage.ErrNoState) {
-		id := raft.ReplicaID(c.world.random.Uint64() | 1)
+		id := raft.ReplicaID(c.simulation.random.Uint64() | 1)
 		if err := replica.CreateJoining(c.disk, clusterID, c.name, id); err != nil {
 			c.fail(err)
 			return
 		}
-		c.world.log("%s has an empty disk and joins as %d", c.name, id)
+		c.simulation.log("%s has an empty disk and joins as %d", c.name, id)
 	}
 	opened, err := replica.Open(c.clock(), c.config(), c.disk)
 	if errors.Is(err, errDisk) {
@@ -74,19 +75,19 @@
 		return
 	}
 	if err != nil {
-		c.world.violate(invariantRecovery, "%s cannot open its state: %v", c.name, err)
-		c.end()
+		c.simulation.violate(invariantRecovery, "%s cannot open its state: %v", c.name, err)
+		c.endRun()
 		return
 	}
 	c.replica = opened
 	c.confirmed = false
-	c.waiting = map[replica.ProposalID]func(replica.Completion){}
+	c.pending = map[replica.ProposalID]func(replica.Completion){}
 	c.tracker = &machinelist.Tracker{}
 	c.server = newServer(&c.process, opened.State(), c.freshness)
-	c.world.log("%s starts as %d at commit %d", c.name, opened.Node().ID(), opened.Node().Commit())
-	c.later(0, c.timedTurn)
-	c.later(platformInterval, c.pollPlatform)
-	c.later(0, c.askToJoin)
+	c.simulation.log("%s starts as %d at commit %d", c.name, opened.Node().ID(), opened.Node().Commit())
+	c.afterLocal(0, c.periodicAdvance)
+	c.afterLocal(platformInterval, c.pollPlatform)
+	c.afterLocal(0, c.requestJoin)
 }
 
 func (c *control) config() replica.Config {
@@ -94,49 +95,50 @@
 		Raft: raft.Config{
 			ElectionTimeout: electionTimeout, HeartbeatInterval: heartbeatInterval,
 			MaxClockDrift: assumedDrift, MaxAppendBytes: maxAppendBytes, KeepEntries: keepEntries,
-			Random: c.world.random.Int64N,
+			Random: c.simulation.random.Int64N,
 		},
 		CompactAfter: compactAfter,
 		CompactBytes: compactBytes,
 	}
-	if c.cluster.grown {
+	if c.cluster.expanded {
 		config.RemoveAfter = removeAfter
 		config.ToleratedLosses = (len(c.cluster.controls) - 1) / 2
 	}
 	return config
 }
 
-// kill ends the process as a crash of its machine would.
+// kill stops the process and crashes its disk.
 func (c *control) kill() {
 	if !c.alive {
 		return
 	}
-	c.world.log("%s dies", c.name)
-	c.end()
+	c.simulation.log("%s is killed", c.name)
+	c.endRun()
 	c.disk.crash()
-	c.cluster.dropLeaseView(c)
+	c.cluster.clearLease(c)
 }
 
-// fail ends the process after an error that it may not survive.
+// fail stops the process after an unrecoverable error and restarts it a second later.
 func (c *control) fail(err error) {
-	c.world.log("%s ends: %v", c.name, err)
-	c.end()
+	c.simulation.log("%s exits: %v", c.name, err)
+	c.endRun()
 	c.disk.crash()
-	c.cluster.dropLeaseView(c)
-	c.world.after(time.Second, func() { c.start() })
+	c.cluster.clearLease(c)
+	c.simulation.after(time.Second, func() { c.start() })
 }
 
-func (c *control) timedTurn() {
-	c.turn()
+func (c *control) periodicAdvance() {
+	c.advance()
 	if !c.alive {
 		return
 	}
 	wait := c.replica.Node().NextDeadline() - c.clock()
-	c.later(max(time.Millisecond, min(wait, turnPause)), c.timedTurn)
+	c.afterLocal(max(time.Millisecond, min(wait, maxAdvanceInterval)), c.periodicAdvance)
 }
 
-// turn does what a turn of the daemon's driver does, in the same order.
-func (c *control) turn() {
+// advance ticks the replica, flushes its output and delivers the results, in the same
+// order as the daemon's driver.
+func (c *control) advance() {
 	c.replica.Tick(c.clock())
 	output, err := c.replica.Flush(c.clock())
 	if err != nil {
@@ -153,10 +155,10 @@
 		c.confirmedAt, c.confirmed = at, true
 	}
 	c.cluster.observeControl(c)
-	for _, done := range output.Completions {
-		if answer, found := c.waiting[done.Proposal]; found {
-			delete(c.waiting, done.Proposal)
-			answer(done)
+	for _, completion := range output.Completions {
+		if notify, found := c.pending[completion.Proposal]; found {
+			delete(c.pending, completion.Proposal)
+			notify(completion)
 		}
 	}
 }
@@ -172,31 +174,32 @@
 	}
 	peer := c.cluster.controlNamed(address)
 	from := c.name
-	c.cluster.network.datagram(&c.process, &peer.process, func() {
+	c.cluster.network.sendDatagram(&c.process, &peer.process, func() {
 		peer.replica.Learn(m.From, from)
 		peer.replica.Step(peer.clock(), m)
-		peer.turn()
+		peer.advance()
 	})
 }
 
-func (c *control) askToJoin() {
+func (c *control) requestJoin() {
 	node := c.replica.Node()
-	lost := c.cluster.grown && c.clock()-node.HeardLeaderAt(c.clock()) > 2*electionTimeout
+	lost := c.cluster.expanded && c.clock()-node.HeardLeaderAt(c.clock()) > 2*electionTimeout
 	if !node.Membership().IsVoter(node.ID()) || lost {
 		member := c.member()
 		member.ID = node.ID()
 		for _, peer := range c.cluster.controls {
 			if peer != c {
-				c.cluster.network.datagram(&c.process, &peer.process, func() { peer.replica.Join(peer.clock(), member) })
+				c.cluster.network.sendDatagram(&c.process, &peer.process, func() { peer.replica.Join(peer.clock(), member) })
 			}
 		}
 	}
-	c.later(joinInterval, c.askToJoin)
+	c.afterLocal(joinInterval, c.requestJoin)
 }
 
-// pollPlatform does what the daemon's poller does.
+// pollPlatform proposes changes of the platform's list while the replica has the
+// lease, as the daemon's poller does.
 func (c *control) pollPlatform() {
-	c.later(platformInterval, c.pollPlatform)
+	c.afterLocal(platformInterval, c.pollPlatform)
 	if !c.replica.Node().LeaseValid(c.clock()) {
 		c.tracker = &machinelist.Tracker{}
 		return
@@ -210,21 +213,23 @@
 		return
 	}
 	c.propose(catalog.Command{Endpoints: &catalog.Endpoints{Changes: changes}}, func(replica.Completion) {})
-	c.turn()
+	c.advance()
 }
 
-// propose hands a command in; done is called if its end becomes known in this life.
+// propose submits a command to the replica. done is called with the result if it
+// becomes known during this process run.
 func (c *control) propose(command catalog.Command, done func(replica.Completion)) {
-	c.proposal++
-	c.waiting[c.proposal] = done
-	if err := c.replica.Propose(c.proposal, command); err != nil {
-		delete(c.waiting, c.proposal)
+	c.lastProposal++
+	c.pending[c.lastProposal] = done
+	if err := c.replica.Propose(c.lastProposal, command); err != nil {
+		delete(c.pending, c.lastProposal)
 		done(replica.Completion{Err: err})
 	}
 }
 
-// readLeased is a read that is only answered under a valid lease.
-func (c *control) readLeased() (head uint64, position distribution.Position, ok bool) {
+// readUnderLease reads the head and the position; ok is false without a valid lease or
+// while committed entries are not applied.
+func (c *control) readUnderLease() (head uint64, position distribution.Position, ok bool) {
 	node := c.replica.Node()
 	if !node.LeaseValid(c.clock()) || c.replica.Applied() < node.Commit() {
 		return 0, distribution.Position{}, false
--- a/pkg/sim/garble.go
+++ b/pkg/sim/corruption.go
@@ -6,11 +6,11 @@
 	"bramblelift/pkg/distribution"
 )
 
-// garbleShare is how many updates are altered on the way while the fault lasts.
-const garbleShare = 0.3
+// corruptionProbability is the share of updates that are altered while the fault lasts.
+const corruptionProbability = 0.3
 
-// garbles lists how a faulty server may alter an update. Each works on a copy.
-var garbles = []func(u *distribution.Update){
+// corruptions lists how a faulty server may alter an update. Each works on a copy.
+var corruptions = []func(u *distribution.Update){
 	func(u *distribution.Update) { u.Bundles = nil },
 	func(u *distribution.Update) { u.Endpoints = u.Endpoints[:len(u.Endpoints)/2] },
 	func(u *distribution.Update) {
@@ -38,14 +38,14 @@
 	},
 }
 
-// garbled returns the update as a faulty server would send it; mostly it is as it was.
-func (n *network) garbled(update *distribution.Update) *distribution.Update {
-	if !n.garbling || !n.world.chance(garbleShare) {
+// maybeCorrupt returns the update, or an altered copy of it while the fault lasts.
+func (n *network) maybeCorrupt(update *distribution.Update) *distribution.Update {
+	if !n.corrupting || !n.simulation.chance(corruptionProbability) {
 		return update
 	}
 	altered := *update
 	altered.Bundles = slices.Clone(update.Bundles)
 	altered.Endpoints = slices.Clone(update.Endpoints)
-	garbles[n.world.random.IntN(len(garbles))](&altered)
+	corruptions[n.simulation.random.IntN(len(corruptions))](&altered)
 	return &altered
 }
--- a/pkg/sim/disk.go
+++ b/pkg/sim/disk.go
@@ -9,46 +9,46 @@
 	"bramblelift/pkg/storage"
 )
 
-// errDisk is a simulated failure of a sync.
-var errDisk = errors.New("simulated disk failure")
+// errDisk is returned by a sync that was made to fail.
+var errDisk = errors.New("simulated sync failure")
 
-// inode is a file's content: all of it, and how much of it is durable.
+// inode is the content of a file; its first synced bytes are durable.
 type inode struct {
 	content []byte
 	synced  int
 }
 
-// disk is a storage.FileSystem that forgets what was not synced when its machine
-// crashes.
+// disk is a storage.FileSystem that loses unsynced data when its machine crashes.
 type disk struct {
-	world *world
-	// folder is what processes see, durableFolder what a crash leaves.
+	simulation *simulation
+	// folder is the directory as processes see it, durableFolder the one that survives a
+	// crash.
 	folder        map[string]*inode
 	durableFolder map[string]*inode
 	// failSync makes the next sync fail.
 	failSync bool
-	// full makes the disk refuse every write; some of one may get there.
+	// full makes every write fail; a prefix of the data may still be written.
 	full  bool
 	syncs int
 }
 
-// errFull is what a full disk says.
+// errFull is returned by writes to a full disk.
 var errFull = errors.New("simulated disk is full")
 
-func newDisk(w *world) *disk {
-	return &disk{world: w, folder: map[string]*inode{}, durableFolder: map[string]*inode{}}
+func newDisk(sim *simulation) *disk {
+	return &disk{simulation: sim, folder: map[string]*inode{}, durableFolder: map[string]*inode{}}
 }
 
-// crash loses what was not synced. Of a file's unsynced end any part may have reached
-// the platter.
+// crash discards unsynced data. An arbitrary prefix of a file's unsynced bytes may
+// survive.
 func (d *disk) crash() {
-	if d.world.chance(0.5) {
+	if d.simulation.chance(0.5) {
 		d.folder = cloneFolder(d.durableFolder)
 	}
 	for _, file := range sortedFiles(d.folder) {
 		unsynced := len(file.content) - file.synced
 		if unsynced > 0 {
-			kept := file.synced + d.world.random.IntN(unsynced+1)
+			kept := file.synced + d.simulation.random.IntN(unsynced+1)
 			file.content = file.content[:kept]
 			file.synced = kept
 		}
@@ -57,7 +57,7 @@
 	d.failSync = false
 }
 
-// wipe loses everything, as a replaced machine does.
+// wipe deletes everything, as if the machine was replaced by an empty one.
 func (d *disk) wipe() {
 	d.folder = map[string]*inode{}
 	d.durableFolder = map[string]*inode{}
@@ -102,14 +102,14 @@
 
 // SyncFolder implements storage.FileSystem.
 func (d *disk) SyncFolder() error {
-	if err := d.syncFails(); err != nil {
+	if err := d.syncError(); err != nil {
 		return err
 	}
 	d.durableFolder = cloneFolder(d.folder)
 	return nil
 }
 
-func (d *disk) syncFails() error {
+func (d *disk) syncError() error {
 	d.syncs++
 	if d.failSync {
 		d.failSync = false
@@ -126,9 +126,9 @@
 // Write implements storage.File.
 func (f *openFile) Write(data []byte) (int, error) {
 	if f.disk.full {
-		taken := f.disk.world.random.IntN(len(data) + 1)
-		f.inode.content = append(f.inode.content, data[:taken]...)
-		return taken, errFull
+		written := f.disk.simulation.random.IntN(len(data) + 1)
+		f.inode.content = append(f.inode.content, data[:written]...)
+		return written, errFull
 	}
 	f.inode.content = append(f.inode.content, data...)
 	return len(data), nil
@@ -136,7 +136,7 @@
 
 // Sync implements storage.File.
 func (f *openFile) Sync() error {
-	if err := f.disk.syncFails(); err != nil {
+	if err := f.disk.syncError(); err != nil {
 		return err
 	}
 	f.inode.synced = len(f.inode.content)
@@ -161,8 +161,8 @@
 	return clone
 }
 
-// sortedFiles returns the files in the order of their names: random choices must not
-// depend on the order of a map.
+// sortedFiles returns the files sorted by name, because the order of random draws must
+// not depend on map iteration order.
 func sortedFiles(folder map[string]*inode) []*inode {
 	var files []*inode
 	for _, name := range slices.Sorted(maps.Keys(folder)) {
--- a/pkg/sim/faults.go
+++ b/pkg/sim/faults.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// fault is one kind of failure: it strikes, and returns what heals it.
+// fault is one kind of failure. inject starts it and returns a function that ends it.
 type fault struct {
 	name   string
-	strike func(c *cluster) (heal func())
+	inject func(c *cluster) (heal func())
 }
 
-// faults lists every kind, in the order in which they are drawn.
+// faults lists the kinds of faults. Random draws depend on the order.
 var faults = []fault{
 	{"kill-control", func(c *cluster) func() {
-		ctl := pickOne(c, c.controls)
+		ctl := pickRandom(c, c.controls)
 		ctl.kill()
 		return ctl.start
 	}},
 	{"kill-leader", func(c *cluster) func() {
 		for _, ctl := range c.controls {
-			if ctl.alive && c.leases[ctl] {
+			if ctl.alive && c.leaseHolders[ctl] {
 				ctl.kill()
 				return ctl.start
 			}
@@ -39,15 +39,15 @@
 			}
 		}
 	}},
-	{"lose-disk", strikeLoseDisk},
-	{"second-loss", strikeSecondLoss},
+	{"lose-disk", injectDiskLoss},
+	{"second-loss", injectSecondDiskLoss},
 	{"fail-sync", func(c *cluster) func() {
-		ctl := pickOne(c, c.controls)
+		ctl := pickRandom(c, c.controls)
 		ctl.disk.failSync = true
 		return func() { ctl.disk.failSync = false }
 	}},
 	{"fail-node-sync", func(c *cluster) func() {
-		n := pickOne(c, c.nodes)
+		n := pickRandom(c, c.nodes)
 		if n.disk == nil {
 			return func() {}
 		}
@@ -55,7 +55,7 @@
 		return func() { n.disk.failSync = false }
 	}},
 	{"kill-relay", func(c *cluster) func() {
-		r := pickOne(c, c.relays)
+		r := pickRandom(c, c.relays)
 		r.kill()
 		return r.start
 	}},
@@ -64,7 +64,7 @@
 			n.kill()
 		}
 		for _, r := range c.relays {
-			if c.world.chance(0.5) {
+			if c.simulation.chance(0.5) {
 				r.kill()
 			}
 		}
@@ -78,86 +78,87 @@
 		}
 	}},
 	{"kill-node", func(c *cluster) func() {
-		n := pickOne(c, c.nodes)
+		n := pickRandom(c, c.nodes)
 		n.kill()
 		return n.start
 	}},
 	{"cut-zone", func(c *cluster) func() {
-		zone := pickOne(c, c.zones)
-		return cutZone(c, zone, true, true)
+		zone := pickRandom(c, c.zones)
+		return partitionZone(c, zone, true, true)
 	}},
 	{"cut-one-way", func(c *cluster) func() {
-		zone := pickOne(c, c.zones)
-		outward := c.world.chance(0.5)
-		return cutZone(c, zone, outward, !outward)
+		zone := pickRandom(c, c.zones)
+		outward := c.simulation.chance(0.5)
+		return partitionZone(c, zone, outward, !outward)
 	}},
-	{"isolate-control", func(c *cluster) func() { return isolate(c, &pickOne(c, c.controls).process) }},
-	{"isolate-relay", func(c *cluster) func() { return isolate(c, &pickOne(c, c.relays).process) }},
-	{"freeze-control", func(c *cluster) func() { return freeze(&pickOne(c, c.controls).process) }},
-	{"freeze-relay", func(c *cluster) func() { return freeze(&pickOne(c, c.relays).process) }},
-	{"freeze-node", func(c *cluster) func() { return freeze(&pickOne(c, c.nodes).process) }},
+	{"isolate-control", func(c *cluster) func() { return isolate(c, &pickRandom(c, c.controls).process) }},
+	{"isolate-relay", func(c *cluster) func() { return isolate(c, &pickRandom(c, c.relays).process) }},
+	{"freeze-control", func(c *cluster) func() { return freeze(&pickRandom(c, c.controls).process) }},
+	{"freeze-relay", func(c *cluster) func() { return freeze(&pickRandom(c, c.relays).process) }},
+	{"freeze-node", func(c *cluster) func() { return freeze(&pickRandom(c, c.nodes).process) }},
 	{"message-chaos", func(c *cluster) func() {
-		c.network.chaos = true
-		return func() { c.network.chaos = false }
+		c.network.unreliable = true
+		return func() { c.network.unreliable = false }
 	}},
 	{"source-outage", func(c *cluster) func() {
 		c.platform.down = true
 		return func() { c.platform.down = false }
 	}},
 	{"platform-lag", func(c *cluster) func() {
-		before := c.platform.lag
+		previousLag := c.platform.lag
 		c.platform.lag = 8 * time.Second
-		return func() { c.platform.lag = before }
+		return func() { c.platform.lag = previousLag }
 	}},
 	{"lying-load", func(c *cluster) func() {
-		b := pickOne(c, c.backends.all)
-		b.lies = true
-		return func() { b.lies = false }
+		b := pickRandom(c, c.backends.all)
+		b.reportsFalseLoad = true
+		return func() { b.reportsFalseLoad = false }
 	}},
-	{"backend-leaves", strikeBackendLeaves},
+	{"backend-leaves", injectBackendLeaving},
 	{"kill-backend", func(c *cluster) func() {
-		b := pickOne(c, c.backends.all)
+		b := pickRandom(c, c.backends.all)
 		if !b.alive {
 			return func() {}
 		}
 		c.backends.crash(b)
-		c.platform.record()
-		return func() { reviveBackend(c, b) }
+		c.platform.recordList()
+		return func() { restartBackend(c, b) }
 	}},
 	{"planned-stop", func(c *cluster) func() {
-		n := pickOne(c, c.nodes)
+		n := pickRandom(c, c.nodes)
 		if n.alive && !n.stopping {
 			n.stop(func() {})
 		}
 		return func() {
 			if n.alive {
-				n.end()
+				n.endRun()
 			}
 			n.start()
 		}
 	}},
-	{"starve-relay", strikeStarveRelay},
+	{"starve-relay", injectRelayStarvation},
 	{"garbled-updates", func(c *cluster) func() {
-		c.network.garbling = true
-		return func() { c.network.garbling = false }
+		c.network.corrupting = true
+		return func() { c.network.corrupting = false }
 	}},
 }
 
-// FaultNames returns the names of all kinds.
+// FaultNames returns the names of all kinds of faults, those for expanded clusters
+// included.
 func FaultNames() []string {
 	var names []string
-	for _, f := range slices.Concat(faults, grownFaults) {
+	for _, f := range slices.Concat(faults, expandedFaults) {
 		names = append(names, f.name)
 	}
 	return names
 }
 
-// chooseFaults returns the kinds named by a comma-separated list; "all" is all,
-// for clusters that have grown, with those that only they can stand.
-func chooseFaults(list string, grown bool) ([]fault, error) {
+// chooseFaults returns the kinds named by a comma-separated list. "all" and the empty
+// list select every kind; those of expandedFaults are available only if expanded is set.
+func chooseFaults(list string, expanded bool) ([]fault, error) {
 	all := faults
-	if grown {
-		all = slices.Concat(faults, grownFaults)
+	if expanded {
+		all = slices.Concat(faults, expandedFaults)
 	}
 	if list == "" || list == "all" {
 		return all, nil
@@ -166,81 +167,81 @@
 	for name := range strings.SplitSeq(list, ",") {
 		index := slices.IndexFunc(all, func(f fault) bool { return f.name == name })
 		if index < 0 {
-			return nil, fmt.Errorf("no fault %q; there are %s", name, strings.Join(FaultNames(), ", "))
+			return nil, fmt.Errorf("unknown fault %q; known faults: %s", name, strings.Join(FaultNames(), ", "))
 		}
 		chosen = append(chosen, all[index])
 	}
 	return chosen, nil
 }
 
-func pickOne[T any](c *cluster, items []T) T {
-	return items[c.world.random.IntN(len(items))]
+func pickRandom[T any](c *cluster, items []T) T {
+	return items[c.simulation.random.IntN(len(items))]
 }
 
-// strikeLoseDisk replaces a machine by one with an empty disk, if the system can stand
-// the loss.
-func strikeLoseDisk(c *cluster) func() {
-	if !c.repaired() {
+// injectDiskLoss replaces a machine by one with an empty disk, unless a previous loss
+// is not repaired yet.
+func injectDiskLoss(c *cluster) func() {
+	if !c.fullyReplicated() {
 		return func() {}
 	}
-	ctl := pickOne(c, c.controls)
+	ctl := pickRandom(c, c.controls)
 	ctl.kill()
 	ctl.disk.wipe()
-	c.world.log("%s has lost its disk", ctl.name)
+	c.simulation.log("%s has lost its disk", ctl.name)
 	return ctl.start
 }
 
-// strikeSecondLoss loses a disk, and another machine's as soon as the repair is said
-// to be done.
-func strikeSecondLoss(c *cluster) func() {
-	if !c.repaired() {
+// injectSecondDiskLoss wipes the disk of one machine, and that of another as soon as
+// the first is fully replicated again.
+func injectSecondDiskLoss(c *cluster) func() {
+	if !c.fullyReplicated() {
 		return func() {}
 	}
-	first := c.world.random.IntN(len(c.controls))
+	first := c.simulation.random.IntN(len(c.controls))
 	c.controls[first].kill()
 	c.controls[first].disk.wipe()
-	c.world.log("%s has lost its disk; another will after the repair", c.controls[first].name)
-	c.world.after(500*time.Millisecond, c.controls[first].start)
+	c.simulation.log("%s has lost its disk; another follows after the repair", c.controls[first].name)
+	c.simulation.after(500*time.Millisecond, c.controls[first].start)
 	healed := false
 	var watch func()
 	watch = func() {
 		if healed {
 			return
 		}
-		if !c.repaired() {
-			c.world.after(50*time.Millisecond, watch)
+		if !c.fullyReplicated() {
+			c.simulation.after(50*time.Millisecond, watch)
 			return
 		}
-		second := c.controls[(first+1+c.world.random.IntN(len(c.controls)-1))%len(c.controls)]
+		second := c.controls[(first+1+c.simulation.random.IntN(len(c.controls)-1))%len(c.controls)]
 		second.kill()
 		second.disk.wipe()
-		c.world.log("%s has lost its disk right after the repair", second.name)
-		c.world.after(500*time.Millisecond, second.start)
+		c.simulation.log("%s has lost its disk right after the repair", second.name)
+		c.simulation.after(500*time.Millisecond, second.start)
 	}
-	c.world.after(time.Second, watch)
+	c.simulation.after(time.Second, watch)
 	return func() {
 		healed = true
 		c.controls[first].start()
 	}
 }
 
-func strikeBackendLeaves(c *cluster) func() {
-	b := pickOne(c, c.backends.all)
+func injectBackendLeaving(c *cluster) func() {
+	b := pickRandom(c, c.backends.all)
 	if !b.alive || b.leaving {
 		return func() {}
 	}
-	c.world.log("%s leaves", b.name)
-	b.leave()
-	c.platform.record()
-	return func() { reviveBackend(c, b) }
+	c.simulation.log("%s leaves", b.name)
+	b.startLeaving()
+	c.platform.recordList()
+	return func() { restartBackend(c, b) }
 }
 
-func reviveBackend(c *cluster, b *backend) {
-	b.replace()
-	c.platform.record()
+func restartBackend(c *cluster, b *backend) {
+	b.restart()
+	c.platform.recordList()
 }
 
-func cutZone(c *cluster, zone string, outward, inward bool) func() {
+func partitionZone(c *cluster, zone string, outward, inward bool) func() {
 	var directions [][2]string
 	for _, other := range c.zones {
 		if other == zone {
@@ -254,25 +255,25 @@
 		}
 	}
 	for _, direction := range directions {
-		c.network.cut[direction] = true
+		c.network.partitioned[direction] = true
 	}
 	return func() {
 		for _, direction := range directions {
-			delete(c.network.cut, direction)
+			delete(c.network.partitioned, direction)
 		}
 	}
 }
 
-// starveDelay is longer than a node stays at a stale relay.
+// starveDelay is longer than a node stays subscribed to a stale relay.
 const starveDelay = 4 * time.Second
 
-// strikeStarveRelay cuts a relay off from control only. Its nodes move to other relays
-// and get newer versions there; then they are restarted, and the one that is near them is
-// the stale one.
-func strikeStarveRelay(c *cluster) func() {
-	r := pickOne(c, c.relays)
+// injectRelayStarvation cuts a relay off from control. After its nodes have moved to
+// other relays with newer versions, it restarts them, so that they may connect to the
+// stale relay first.
+func injectRelayStarvation(c *cluster) func() {
+	r := pickRandom(c, c.relays)
 	c.network.starved[r.name] = true
-	c.world.after(starveDelay, func() {
+	c.simulation.after(starveDelay, func() {
 		if !c.network.starved[r.name] {
 			return
 		}
@@ -296,81 +297,81 @@
 	return p.thaw
 }
 
-// active is a fault that has struck and not healed yet.
-type active struct {
+// activeFault is a fault that has been injected and not healed yet.
+type activeFault struct {
 	name   string
 	number int
 	heal   func()
 }
 
-// chaos strikes faults at random times until stopped.
-type chaos struct {
-	cluster *cluster
-	kinds   []fault
-	open    []active
-	struck  int
-	stopped bool
+// faultInjector injects faults at random times until it is stopped.
+type faultInjector struct {
+	cluster       *cluster
+	kinds         []fault
+	active        []activeFault
+	injectedCount int
+	stopped       bool
 }
 
-// Timing of faults.
+// Timing and number of faults.
 const (
-	meanFaultPause = 3500 * time.Millisecond
-	maxFaultLength = 9 * time.Second
-	maxOpenFaults  = 3
+	meanFaultInterval = 3500 * time.Millisecond
+	maxFaultDuration  = 9 * time.Second
+	maxActiveFaults   = 3
 )
 
-func (x *chaos) run() {
-	x.cluster.world.after(x.cluster.world.between(0, 2*meanFaultPause), func() {
-		if x.stopped {
+func (f *faultInjector) run() {
+	f.cluster.simulation.after(f.cluster.simulation.between(0, 2*meanFaultInterval), func() {
+		if f.stopped {
 			return
 		}
-		x.strikeOne()
-		x.run()
+		f.injectOne()
+		f.run()
 	})
 }
 
-func (x *chaos) strikeOne() {
-	w := x.cluster.world
-	if len(x.open) >= maxOpenFaults {
+func (f *faultInjector) injectOne() {
+	sim := f.cluster.simulation
+	if len(f.active) >= maxActiveFaults {
 		return
 	}
-	kind := x.kinds[w.random.IntN(len(x.kinds))]
-	w.log("fault %s strikes", kind.name)
-	x.struck++
-	number := x.struck
-	struck := active{name: kind.name, number: number, heal: kind.strike(x.cluster)}
-	x.open = append(x.open, struck)
-	w.after(w.between(100*time.Millisecond, maxFaultLength), func() { x.healOne(struck, number) })
+	kind := f.kinds[sim.random.IntN(len(f.kinds))]
+	sim.log("fault %s is injected", kind.name)
+	f.injectedCount++
+	number := f.injectedCount
+	injected := activeFault{name: kind.name, number: number, heal: kind.inject(f.cluster)}
+	f.active = append(f.active, injected)
+	sim.after(sim.between(100*time.Millisecond, maxFaultDuration), func() { f.healOne(injected, number) })
 }
 
-func (x *chaos) healOne(struck active, number int) {
-	if x.stopped {
+func (f *faultInjector) healOne(injected activeFault, number int) {
+	if f.stopped {
 		return
 	}
-	for i := range x.open {
-		if x.open[i].number == struck.number {
-			x.open = append(x.open[:i:i], x.open[i+1:]...)
+	for i := range f.active {
+		if f.active[i].number == injected.number {
+			f.active = append(f.active[:i:i], f.active[i+1:]...)
 			break
 		}
 	}
-	x.cluster.world.log("fault %s (%d) heals", struck.name, number)
-	struck.heal()
+	f.cluster.simulation.log("fault %s (%d) is healed", injected.name, number)
+	injected.heal()
 }
 
-// healAll ends every fault and starts everything that is down.
-func (x *chaos) healAll() {
-	x.stopped = true
-	for _, struck := range x.open {
-		struck.heal()
+// healAll ends every fault and starts every process that is not running.
+func (f *faultInjector) healAll() {
+	f.stopped = true
+	for _, injected := range f.active {
+		injected.heal()
 	}
-	x.open = nil
-	c := x.cluster
+	f.active = nil
+	c := f.cluster
 	c.healed = true
 	clear(c.network.starved)
-	clear(c.network.cut)
+	clear(c.network.partitioned)
 	clear(c.network.isolated)
-	c.network.chaos = false
-	c.network.garbling = false
+	c.network.unreliable = false
+	c.network.corrupting = false
 	c.platform.down = false
 	for _, ctl := range c.controls {
 		ctl.thaw()
@@ -387,9 +388,9 @@
 			n.disk.failSync = false
 		}
 		if n.stopping {
-			n.end()
+			n.endRun()
 		}
 		n.start()
 	}
-	c.world.log("all faults are healed")
+	c.simulation.log("all faults are healed")
 }
--- a/pkg/sim/linearizable.go
+++ b/pkg/sim/linearizable.go
@@ -6,7 +6,7 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Kinds of operators' calls.
+// Kinds of operator calls.
 const (
 	readOperation = iota
 	createOperation
@@ -15,59 +15,59 @@
 
 type operationInput struct {
 	kind int
-	// expected is the head a create expects, or the version a roll names.
+	// expected is the head that a create expects, or the version that a roll names.
 	expected uint64
 	valid    bool
 }
 
 type operationOutput struct {
-	// known is false for calls that never got an answer.
+	// known is false if the operator got no response.
 	known  bool
 	ok     bool
 	head   uint64
 	active uint64
 }
 
-// operationRecord is one call of an operator, resends included.
+// operationRecord is one call of an operator, including its resends.
 type operationRecord struct {
-	client int
-	input  operationInput
-	output operationOutput
-	call   time.Duration
-	ended  time.Duration
+	client     int
+	input      operationInput
+	output     operationOutput
+	calledAt   time.Duration
+	returnedAt time.Duration
 }
 
 func (c *cluster) beginOperation(client int, input operationInput) *operationRecord {
-	record := &operationRecord{client: client, input: input, call: c.world.now}
+	record := &operationRecord{client: client, input: input, calledAt: c.simulation.now}
 	c.operations = append(c.operations, record)
 	return record
 }
 
 func (c *cluster) endOperation(record *operationRecord, output operationOutput) {
 	record.output = output
-	record.ended = c.world.now
+	record.returnedAt = c.simulation.now
 }
 
-// register is the state of the sequential model: the newest version and the one in
+// registerState is the state of the sequential model: the newest version and the one in
 // force.
-type register struct {
+type registerState struct {
 	head   uint64
 	active uint64
 }
 
-// operatorModel says what each call may answer when calls come one after another. An
-// unanswered call may or may not have happened.
+// operatorModel defines the valid responses of sequential calls. A call without a
+// response may or may not have taken effect.
 var operatorModel = porcupine.NondeterministicModel{
-	Init: func() []any { return []any{register{}} },
+	Init: func() []any { return []any{registerState{}} },
 	Step: func(state, input, output any) []any {
-		return stepRegister(state.(register), input.(operationInput), output.(operationOutput))
+		return stepRegister(state.(registerState), input.(operationInput), output.(operationOutput))
 	},
 	Equal: func(a, b any) bool { return a == b },
 }
 
-func stepRegister(state register, input operationInput, output operationOutput) []any {
-	var next register
-	var happens bool
+func stepRegister(state registerState, input operationInput, output operationOutput) []any {
+	var next registerState
+	var succeeds bool
 	switch input.kind {
 	case readOperation:
 		if output.known && (output.head != state.head || output.active != state.active) {
@@ -75,23 +75,23 @@
 		}
 		return []any{state}
 	case createOperation:
-		next, happens = state, input.valid && input.expected == state.head
+		next, succeeds = state, input.valid && input.expected == state.head
 		next.head++
 	case rollOperation:
-		// A roll is only sent for a version whose create was answered.
-		next, happens = state, input.expected >= state.active
+		// Operators roll only versions whose creation was confirmed.
+		next, succeeds = state, input.expected >= state.active
 		next.active = input.expected
 	}
 	if !output.known {
-		if happens {
+		if succeeds {
 			return []any{state, next}
 		}
 		return []any{state}
 	}
-	if output.ok != happens {
+	if output.ok != succeeds {
 		return nil
 	}
-	if !happens {
+	if !succeeds {
 		return []any{state}
 	}
 	if input.kind == createOperation && output.head != next.head {
@@ -100,29 +100,29 @@
 	return []any{next}
 }
 
-// linearizabilityLimit bounds the search.
+// linearizabilityLimit bounds the search in real time.
 const linearizabilityLimit = 5 * time.Second
 
-// judgeOperators checks the operators' history.
-func (c *cluster) judgeOperators() {
-	if checkHistory(c.operations, c.world.now) == porcupine.Illegal {
-		c.world.violate(invariantOperators, "%d calls have no order that explains their answers", len(c.operations))
+// checkLinearizability checks the history of the operators' calls.
+func (c *cluster) checkLinearizability() {
+	if checkHistory(c.operations, c.simulation.now) == porcupine.Illegal {
+		c.simulation.violate(invariantOperators, "no sequential order of %d calls explains their responses", len(c.operations))
 	}
 }
 
 func checkHistory(records []*operationRecord, end time.Duration) porcupine.CheckResult {
 	var history []porcupine.Operation
 	for i, record := range records {
-		ended := record.ended
+		returnedAt := record.returnedAt
 		client := record.client
 		if !record.output.known {
-			ended = end + time.Hour
-			// The client goes on after it gave up, so the open call is another's.
+			returnedAt = end + time.Hour
+			// The client continues after a timeout, so the open call gets a client ID of its own.
 			client = len(records) + i
 		}
 		history = append(history, porcupine.Operation{
 			ClientId: client, Input: record.input, Output: record.output,
-			Call: int64(record.call), Return: int64(ended),
+			Call: int64(record.calledAt), Return: int64(returnedAt),
 		})
 	}
 	return porcupine.CheckOperationsTimeout(operatorModel.ToModel(), history, linearizabilityLimit)
--- a/pkg/sim/network.go
+++ b/pkg/sim/network.go
@@ -5,39 +5,39 @@
 	"time"
 )
 
-// Times of the simulated network.
+// Delays and loss of the simulated network.
 const (
-	sameZoneLatency  = 100 * time.Microsecond
-	latencyJitter    = 2 * time.Millisecond
-	retransmitPause  = 200 * time.Millisecond
-	retransmitLimit  = 20 * time.Second
-	dialTimeout      = time.Second
-	chaosExtraDelay  = 400 * time.Millisecond
-	chaosLoss        = 0.08
-	chaosDuplication = 0.08
+	sameZoneLatency        = 100 * time.Microsecond
+	latencyJitter          = 2 * time.Millisecond
+	retransmitPause        = 200 * time.Millisecond
+	retransmitLimit        = 20 * time.Second
+	dialTimeout            = time.Second
+	maxExtraDelay          = 400 * time.Millisecond
+	lossProbability        = 0.08
+	duplicationProbability = 0.08
 )
 
-// network decides what gets through, and when.
+// network decides which messages are delivered, and when.
 type network struct {
-	world       *world
+	simulation  *simulation
 	zoneLatency time.Duration
-	// cut holds the directions between zones that are cut.
-	cut map[[2]string]bool
-	// starved relays and control replicas do not reach each other, in silence.
+	// partitioned holds the pairs of zones, from and to, between which messages are dropped.
+	partitioned map[[2]string]bool
+	// starved holds relays that cannot exchange messages with control replicas.
 	starved map[string]bool
-	// isolated processes reach nobody and are reached by nobody, in silence.
+	// isolated holds processes that cannot exchange messages with any other.
 	isolated map[string]bool
-	// garbling servers alter some of their updates.
-	garbling bool
-	// chaos makes datagrams get lost, doubled and late.
-	chaos bool
+	// corrupting makes servers alter some of their updates.
+	corrupting bool
+	// unreliable makes datagrams get lost, duplicated and delayed.
+	unreliable bool
 }
 
-func newNetwork(w *world, zoneLatency time.Duration) *network {
-	return &network{world: w, zoneLatency: zoneLatency, cut: map[[2]string]bool{}, isolated: map[string]bool{}, starved: map[string]bool{}}
+func newNetwork(sim *simulation, zoneLatency time.Duration) *network {
+	return &network{simulation: sim, zoneLatency: zoneLatency, partitioned: map[[2]string]bool{}, isolated: map[string]bool{}, starved: map[string]bool{}}
 }
 
-func (n *network) reaches(from, to *process) bool {
+func (n *network) canReach(from, to *process) bool {
 	if from.name == to.name {
 		return true
 	}
@@ -47,7 +47,7 @@
 	if (n.starved[from.name] && isControl(to)) || (n.starved[to.name] && isControl(from)) {
 		return false
 	}
-	return !n.cut[[2]string{from.zone, to.zone}]
+	return !n.partitioned[[2]string{from.zone, to.zone}]
 }
 
 func isControl(p *process) bool { return strings.HasPrefix(p.name, controlPrefix) }
@@ -57,43 +57,44 @@
 	if from.zone == to.zone {
 		base = sameZoneLatency
 	}
-	delay := base + n.world.between(0, latencyJitter)
-	if n.chaos && n.world.chance(0.2) {
-		delay += n.world.between(0, chaosExtraDelay)
+	delay := base + n.simulation.between(0, latencyJitter)
+	if n.unreliable && n.simulation.chance(0.2) {
+		delay += n.simulation.between(0, maxExtraDelay)
 	}
 	return delay
 }
 
-// datagram carries a message that may be lost, doubled and overtaken.
-func (n *network) datagram(from, to *process, deliver func()) {
-	if !n.reaches(from, to) || !to.alive {
+// sendDatagram sends a message that may be lost, duplicated or reordered.
+func (n *network) sendDatagram(from, to *process, deliver func()) {
+	if !n.canReach(from, to) || !to.alive {
 		return
 	}
-	if n.chaos && n.world.chance(chaosLoss) {
+	if n.unreliable && n.simulation.chance(lossProbability) {
 		return
 	}
-	n.world.after(n.delay(from, to), to.guarded(deliver))
-	if n.chaos && n.world.chance(chaosDuplication) {
-		n.world.after(n.delay(from, to), to.guarded(deliver))
+	n.simulation.after(n.delay(from, to), to.ifRunning(deliver))
+	if n.unreliable && n.simulation.chance(duplicationProbability) {
+		n.simulation.after(n.delay(from, to), to.ifRunning(deliver))
 	}
 }
 
-// connection is an ordered, reliable channel between two lives of two processes, as
-// TCP gives it: what cannot get through is sent again for a while, so a message may
-// come very late, but never after a later one.
+// connection is an ordered, reliable channel between one run of each of two processes,
+// like TCP: undeliverable messages are retransmitted for a while, so a message may
+// arrive very late, but never out of order.
 type connection struct {
 	network *network
 	client  *process
 	server  *process
-	// clientLife and serverLife are the generations that are connected.
-	clientLife, serverLife int
-	closed                 bool
-	lastArrival            [2]time.Duration
-	// waiting holds, by direction, what is held back and must not be overtaken.
-	waiting [2][]func()
-	// heldSince is when the first of those was sent.
-	heldSince [2]time.Duration
-	// onClientClose and onServerClose tell a side that the other is gone.
+	// clientGeneration and serverGeneration are the process runs that are connected.
+	clientGeneration, serverGeneration int
+	closed                             bool
+	lastArrival                        [2]time.Duration
+	// queued holds, by direction, messages that wait for retransmission.
+	queued [2][]func()
+	// queuedSince is when the first of those was sent.
+	queuedSince [2]time.Duration
+	// onClientClose and onServerClose notify a side that the other closed or reset the
+	// connection.
 	onClientClose, onServerClose func()
 }
 
@@ -102,109 +103,110 @@
 	toClient = 1
 )
 
-// dial opens a connection if the server can be reached in both directions.
+// dial opens a connection if the server is reachable in both directions.
 func (n *network) dial(client, server *process, opened func(*connection), failed func()) {
 	roundTrip := n.delay(client, server) + n.delay(server, client)
-	if !n.reaches(client, server) || !n.reaches(server, client) || server.frozen {
-		client.later(dialTimeout, failed)
+	if !n.canReach(client, server) || !n.canReach(server, client) || server.frozen {
+		client.afterLocal(dialTimeout, failed)
 		return
 	}
-	n.world.after(roundTrip, client.guarded(func() {
+	n.simulation.after(roundTrip, client.ifRunning(func() {
 		if !server.alive {
 			failed()
 			return
 		}
-		opened(&connection{network: n, client: client, server: server, clientLife: client.generation, serverLife: server.generation})
+		opened(&connection{network: n, client: client, server: server, clientGeneration: client.generation, serverGeneration: server.generation})
 	}))
 }
 
-// send delivers in order. What is sent to an earlier life of a process comes back as a
-// reset.
+// send delivers messages in order. A message to an earlier run of a process resets the
+// connection.
 func (c *connection) send(direction int, deliver func()) {
 	if c.closed {
 		return
 	}
-	from, to, _ := c.ends(direction)
-	if len(c.waiting[direction]) == 0 && c.network.reaches(from, to) {
+	from, to, _ := c.peers(direction)
+	if len(c.queued[direction]) == 0 && c.network.canReach(from, to) {
 		c.transmit(direction, deliver)
 		return
 	}
-	c.waiting[direction] = append(c.waiting[direction], deliver)
-	if len(c.waiting[direction]) == 1 {
-		c.heldSince[direction] = c.network.world.now
-		c.network.world.after(retransmitPause, func() { c.retransmit(direction) })
+	c.queued[direction] = append(c.queued[direction], deliver)
+	if len(c.queued[direction]) == 1 {
+		c.queuedSince[direction] = c.network.simulation.now
+		c.network.simulation.after(retransmitPause, func() { c.retransmit(direction) })
 	}
 }
 
-func (c *connection) ends(direction int) (from, to *process, life int) {
+func (c *connection) peers(direction int) (from, to *process, generation int) {
 	if direction == toServer {
-		return c.client, c.server, c.serverLife
+		return c.client, c.server, c.serverGeneration
 	}
-	return c.server, c.client, c.clientLife
+	return c.server, c.client, c.clientGeneration
 }
 
 func (c *connection) transmit(direction int, deliver func()) {
-	w := c.network.world
-	from, to, life := c.ends(direction)
-	arrival := max(w.now+c.network.delay(from, to), c.lastArrival[direction])
+	sim := c.network.simulation
+	from, to, generation := c.peers(direction)
+	arrival := max(sim.now+c.network.delay(from, to), c.lastArrival[direction])
 	c.lastArrival[direction] = arrival
-	w.after(arrival-w.now, func() { c.arrive(direction, to, life, deliver) })
+	sim.after(arrival-sim.now, func() { c.arrive(direction, to, generation, deliver) })
 }
 
-// retransmit sends what is held back as soon as the other side can be reached; after
-// a while it gives up in silence.
+// retransmit sends the queued messages once the other side is reachable, and gives up
+// without notice after retransmitLimit.
 func (c *connection) retransmit(direction int) {
-	w := c.network.world
-	from, to, _ := c.ends(direction)
-	if c.closed || w.now-c.heldSince[direction] > retransmitLimit {
+	sim := c.network.simulation
+	from, to, _ := c.peers(direction)
+	if c.closed || sim.now-c.queuedSince[direction] > retransmitLimit {
 		return
 	}
-	if !c.network.reaches(from, to) {
-		w.after(retransmitPause, func() { c.retransmit(direction) })
+	if !c.network.canReach(from, to) {
+		sim.after(retransmitPause, func() { c.retransmit(direction) })
 		return
 	}
-	held := c.waiting[direction]
-	c.waiting[direction] = nil
-	for _, deliver := range held {
+	queued := c.queued[direction]
+	c.queued[direction] = nil
+	for _, deliver := range queued {
 		c.transmit(direction, deliver)
 	}
 }
 
-func (c *connection) arrive(direction int, to *process, life int, deliver func()) {
+func (c *connection) arrive(direction int, to *process, generation int, deliver func()) {
 	if c.closed {
 		return
 	}
-	if !to.alive || to.generation != life {
+	if !to.alive || to.generation != generation {
 		c.reset(direction)
 		return
 	}
-	to.guarded(func() {
+	to.ifRunning(func() {
 		if !c.closed {
 			deliver()
 		}
 	})()
 }
 
-// reset tells the sender that the other side does not know the connection any more.
+// reset closes the connection and notifies the sender.
 func (c *connection) reset(direction int) {
-	from, _, _ := c.ends(direction)
+	from, _, _ := c.peers(direction)
 	c.closed = true
-	c.tell(from, c.network.zoneLatency)
+	c.notifyClose(from, c.network.zoneLatency)
 }
 
-// tell lets one side know, if it still is in the life that opened the connection.
-func (c *connection) tell(side *process, delay time.Duration) {
-	notify, life := c.onClientClose, c.clientLife
+// notifyClose notifies one side, if the process run that opened the connection still
+// runs.
+func (c *connection) notifyClose(side *process, delay time.Duration) {
+	notify, generation := c.onClientClose, c.clientGeneration
 	if side == c.server {
-		notify, life = c.onServerClose, c.serverLife
+		notify, generation = c.onServerClose, c.serverGeneration
 	}
-	if notify != nil && side.alive && side.generation == life {
-		c.network.world.after(delay, side.guarded(notify))
+	if notify != nil && side.alive && side.generation == generation {
+		c.network.simulation.after(delay, side.ifRunning(notify))
 	}
 }
 
-// closeBy ends the connection; the other side hears of it if it can be reached.
-func (c *connection) closeBy(closer *process) {
+// closeFrom closes the connection and notifies the other side if it is reachable.
+func (c *connection) closeFrom(closer *process) {
 	if c.closed {
 		return
 	}
@@ -213,7 +215,7 @@
 	if closer == c.server {
 		other = c.client
 	}
-	if c.network.reaches(closer, other) {
-		c.tell(other, c.network.delay(closer, other))
+	if c.network.canReach(closer, other) {
+		c.notifyClose(other, c.network.delay(closer, other))
 	}
 }
--- a/pkg/sim/observe.go
+++ b/pkg/sim/observe.go
@@ -10,29 +10,29 @@
 	"bramblelift/pkg/distribution"
 )
 
-// Names of the invariants that the simulator checks.
+// Names of the invariants.
 const (
-	invariantVersions  = "no node goes back to an older version"
-	invariantDangling  = "no route points at a service or secret that the node lacks"
-	invariantPartial   = "a version is in force whole or not at all"
-	invariantAccepted  = "an accepted version never reverts"
-	invariantNotRun    = "a refusal that says not-run did not run"
-	invariantOnce      = "a request that must not be repeated runs at most once"
-	invariantLeaving   = "a back end known to leave receives no new work"
-	invariantLease     = "at most one replica holds the lease"
-	invariantLog       = "replicas apply the same history"
-	invariantOperators = "operators' calls are linearizable"
-	invariantProgress  = "an accepted version is in force on every reachable node in time"
-	invariantRepair    = "a replaced machine becomes a full replica"
-	invariantRecovery  = "a process can start from what it made durable"
-	invariantPlan      = "every state can be distributed"
-	invariantEndpoints = "a node's endpoints are those of its revision"
-	invariantNoWayBack = "no endpoint comes back within one incarnation"
-	invariantSteps     = "the system does not send messages without end"
-	invariantStop      = "a planned stop finishes the calls under way"
+	invariantVersions     = "no node goes back to an older version"
+	invariantDangling     = "no route names a service or secret that the node lacks"
+	invariantComplete     = "a version is in force completely or not at all"
+	invariantAccepted     = "an accepted version never reverts"
+	invariantNotRun       = "a refusal that says not-run did not run"
+	invariantOnce         = "a request that must not be repeated runs at most once"
+	invariantLeaving      = "a back end known to be leaving receives no new calls"
+	invariantLease        = "at most one replica holds the lease"
+	invariantLog          = "replicas apply the same history"
+	invariantOperators    = "operators' calls are linearizable"
+	invariantProgress     = "an accepted version is in force on every reachable node in time"
+	invariantRepair       = "a replaced machine becomes a full replica"
+	invariantRecovery     = "a process can restart from its durable state"
+	invariantPlan         = "every state can be distributed"
+	invariantEndpoints    = "a node's endpoints are those of its revision"
+	invariantNoRegression = "no endpoint returns to an earlier state within one incarnation"
+	invariantSteps        = "the system does not send messages endlessly"
+	invariantStop         = "a planned stop finishes the calls in flight"
 )
 
-// Violation is one broken invariant.
+// Violation is one broken invariant, with the virtual time at which it was found.
 type Violation struct {
 	Invariant string
 	At        time.Duration
@@ -44,76 +44,76 @@
 	return fmt.Sprintf("%s, at %s: %s", v.Invariant, v.At, v.Detail)
 }
 
-// knownContent is a bundle as its operator made it.
+// knownContent is the content of a version as its operator created it.
 type knownContent struct {
 	content bundle.Content
 	valid   bool
 }
 
-// observations is what the checkers remember. They compare with what operators and
-// callers know, not with the product's own opinion.
+// observations is the state of the checkers. It comes from operators, callers and back
+// ends, so that the checks do not rely on the code under test.
 type observations struct {
 	contents map[uint64]knownContent
-	// acceptedHighest is the highest version whose roll was answered.
-	acceptedHighest uint64
+	// highestAccepted is the highest version whose roll was confirmed to an operator.
+	highestAccepted uint64
 	acceptedAt      time.Duration
-	// inForce is the version in force at each node, over all its lives.
-	inForce map[string]uint64
-	// history is the digest of the state after each applied index, as the first
-	// replica to reach it had it.
+	// versionInForce is the version in force at each node, across its process runs.
+	versionInForce map[string]uint64
+	// history is the digest of the state after each applied index, from the first replica
+	// that reached it.
 	history map[uint64]string
-	// endpoints are those of each revision, endpointLives how far each incarnation
-	// has come.
-	endpoints     map[uint64]distribution.EndpointTable
-	endpointLives map[string]endpointLife
-	executions    map[string]int
-	operations    []*operationRecord
-	leases        map[*control]bool
-	callsEnded    int
-	answered      int
-	ended         []endedCall
+	// endpoints holds the endpoints of each revision, incarnationProgress the furthest state
+	// of each incarnation.
+	endpoints           map[uint64]distribution.EndpointTable
+	incarnationProgress map[string]endpointProgress
+	executions          map[string]int
+	operations          []*operationRecord
+	leaseHolders        map[*control]bool
+	callsEnded          int
+	answered            int
+	endedCalls          []endedCall
 }
 
 func newObservations() *observations {
 	return &observations{
-		contents: map[uint64]knownContent{}, inForce: map[string]uint64{},
-		endpoints: map[uint64]distribution.EndpointTable{}, endpointLives: map[string]endpointLife{},
-		history: map[uint64]string{}, executions: map[string]int{}, leases: map[*control]bool{},
+		contents: map[uint64]knownContent{}, versionInForce: map[string]uint64{},
+		endpoints: map[uint64]distribution.EndpointTable{}, incarnationProgress: map[string]endpointProgress{},
+		history: map[uint64]string{}, executions: map[string]int{}, leaseHolders: map[*control]bool{},
 	}
 }
 
-func (o *observations) rememberContent(w *world, manifest bundle.Manifest, content bundle.Content, valid bool) {
+func (o *observations) recordContent(sim *simulation, manifest bundle.Manifest, content bundle.Content, valid bool) {
 	if !valid {
-		w.violate(invariantDangling, "version %d was created with a dangling route", manifest.Version)
+		sim.violate(invariantDangling, "version %d was created with a dangling route", manifest.Version)
 	}
 	o.contents[manifest.Version] = knownContent{content: content, valid: valid}
 }
 
-func (o *observations) accepted(now time.Duration, version uint64) {
-	if version > o.acceptedHighest {
-		o.acceptedHighest = version
+func (o *observations) recordAccepted(now time.Duration, version uint64) {
+	if version > o.highestAccepted {
+		o.highestAccepted = version
 		o.acceptedAt = now
 	}
 }
 
-// observeControl is called after each turn of a replica.
+// observeControl is called after each advance of a replica.
 func (c *cluster) observeControl(ctl *control) {
 	holds := ctl.replica.Node().LeaseValid(ctl.clock())
-	c.leases[ctl] = holds
+	c.leaseHolders[ctl] = holds
 	if holds {
 		c.checkLease(ctl)
 	}
 	c.traceReplica(ctl)
-	c.rememberEndpoints(ctl)
+	c.recordEndpoints(ctl)
 	index := ctl.replica.Applied()
 	digest := fmt.Sprintf("head %d revision %d active %d", ctl.replica.Catalog().HeadVersion(), ctl.replica.State().Revision, ctl.replica.State().Position().Active)
 	if known, found := c.history[index]; found && known != digest {
-		c.world.violate(invariantLog, "%s has %q after entry %d, another had %q", ctl.name, digest, index, known)
+		c.simulation.violate(invariantLog, "%s has %q after entry %d, another had %q", ctl.name, digest, index, known)
 	}
 	c.history[index] = digest
 }
 
-// traceReplica logs a change of a replica's role, term or membership.
+// traceReplica logs changes of a replica's role, term or membership.
 func (c *cluster) traceReplica(ctl *control) {
 	n := ctl.replica.Node()
 	var members []string
@@ -125,42 +125,42 @@
 		members = append(members, fmt.Sprintf("%s/%d/%s", member.Name, member.ID%1000, kind))
 	}
 	line := fmt.Sprintf("%s is %s in term %d with %v", ctl.name, n.Role(), n.Term(), members)
-	if line != ctl.traced {
-		ctl.traced = line
-		c.world.log("%s commit %d last %d", line, n.Commit(), n.LastIndex())
+	if line != ctl.lastTraceLine {
+		ctl.lastTraceLine = line
+		c.simulation.log("%s commit %d last %d", line, n.Commit(), n.LastIndex())
 	}
 }
 
-// checkLease asks each other replica at this very moment.
+// checkLease checks that no other replica has a valid lease at the same time.
 func (c *cluster) checkLease(holder *control) {
 	for _, other := range c.controls {
 		if other == holder || !other.alive || other.frozen || other.replica == nil {
 			continue
 		}
 		if other.replica.Node().LeaseValid(other.clock()) {
-			c.world.violate(invariantLease, "%s (term %d) and %s (term %d)", holder.name, holder.replica.Node().Term(), other.name, other.replica.Node().Term())
+			c.simulation.violate(invariantLease, "%s (term %d) and %s (term %d)", holder.name, holder.replica.Node().Term(), other.name, other.replica.Node().Term())
 		}
 	}
 }
 
-func (c *cluster) dropLeaseView(ctl *control) { delete(c.leases, ctl) }
+func (c *cluster) clearLease(ctl *control) { delete(c.leaseHolders, ctl) }
 
-// observeNode is called with each state before it goes in force.
+// observeNode checks each state before a node puts it in force.
 func (c *cluster) observeNode(n *node, state *distribution.State) {
 	version := state.Active.Manifest.Version
-	if version < c.inForce[n.name] {
-		c.world.violate(invariantVersions, "%s went from %d to %d", n.name, c.inForce[n.name], version)
+	if version < c.versionInForce[n.name] {
+		c.simulation.violate(invariantVersions, "%s went from %d to %d", n.name, c.versionInForce[n.name], version)
 	}
-	if version != c.inForce[n.name] {
-		c.world.log("%s has version %d in force", n.name, version)
+	if version != c.versionInForce[n.name] {
+		c.simulation.log("%s has version %d in force", n.name, version)
 	}
-	c.inForce[n.name] = version
+	c.versionInForce[n.name] = version
 	c.checkDangling(n, state.Active.Content)
-	c.checkWhole(n, version, state.Active.Content)
+	c.checkComplete(n, version, state.Active.Content)
 	c.checkEndpoints(n, state)
 }
 
-// checkDangling looks every reference up by hand.
+// checkDangling checks that a node has every service and secret that its routes name.
 func (c *cluster) checkDangling(n *node, content bundle.Content) {
 	services, secrets := map[string]bool{}, map[string]bool{"": true}
 	for _, service := range content.Services {
@@ -171,14 +171,14 @@
 	}
 	for _, route := range content.Routes {
 		if !services[route.Service] || !secrets[route.Secret] {
-			c.world.violate(invariantDangling, "%s: route %s", n.name, route.Name)
+			c.simulation.violate(invariantDangling, "%s: route %s", n.name, route.Name)
 		}
 	}
 }
 
-// checkWhole compares with what the operator wrote. A version whose create was never
-// answered is not known here.
-func (c *cluster) checkWhole(n *node, version uint64, content bundle.Content) {
+// checkComplete compares a node's content with what the operator created. Versions whose
+// creation was not confirmed are unknown here.
+func (c *cluster) checkComplete(n *node, version uint64, content bundle.Content) {
 	known, found := c.contents[version]
 	if !found {
 		return
@@ -186,11 +186,12 @@
 	want, wantErr := json.Marshal(expectedScope(known.content, n.group))
 	got, gotErr := json.Marshal(content)
 	if wantErr != nil || gotErr != nil || string(want) != string(got) {
-		c.world.violate(invariantPartial, "%s: version %d is %s, approved was %s", n.name, version, got, want)
+		c.simulation.violate(invariantComplete, "%s: version %d is %s, approved was %s", n.name, version, got, want)
 	}
 }
 
-// expectedScope picks a group's part by hand, in the order of the normalized whole.
+// expectedScope computes a group's part of a content independently of the product's
+// code, in the normalized order.
 func expectedScope(whole bundle.Content, group string) bundle.Content {
 	part := bundle.Content{HandBack: whole.HandBack}
 	usedServices, usedSecrets := map[string]bool{}, map[string]bool{}
@@ -220,13 +221,13 @@
 
 func (c *cluster) observeExecution(callID string, b *backend) {
 	c.executions[callID]++
-	c.world.log("%s begins at %s", callID, b.name)
+	c.simulation.log("%s is executed at %s", callID, b.name)
 }
 
-// observeAttempt is called when a node sends a call to a back end.
+// observeAttempt is called when a node sends an attempt to a back end.
 func (c *cluster) observeAttempt(n *node, ticket *balancer.Ticket) {
-	if n.toldLeaving[incarnationKey(ticket.ID, ticket.Incarnation)] {
-		c.world.violate(invariantLeaving, "%s sends a call to %s, of which it knows that it leaves", n.name, ticket.ID)
+	if n.knownLeaving[incarnationKey(ticket.ID, ticket.Incarnation)] {
+		c.simulation.violate(invariantLeaving, "%s sends a call to %s, which it knows to be leaving", n.name, ticket.ID)
 	}
 }
 
@@ -236,10 +237,10 @@
 	if answered {
 		c.answered++
 	}
-	c.world.log("%s ends: answered=%t outcome=%s", id, answered, outcome)
-	// The back end may still begin a call that the node has given up on, so calls
-	// are judged when the run is over.
-	c.ended = append(c.ended, endedCall{id: id, once: once, outcome: outcome})
+	c.simulation.log("%s ends: answered=%t outcome=%s", id, answered, outcome)
+	// A back end may still execute a call after its node has timed out, so calls are
+	// checked at the end of the run.
+	c.endedCalls = append(c.endedCalls, endedCall{id: id, once: once, outcome: outcome})
 }
 
 type endedCall struct {
@@ -248,15 +249,15 @@
 	outcome string
 }
 
-// judgeCalls checks every ended call against what the back ends began.
-func (c *cluster) judgeCalls() {
-	for _, call := range c.ended {
+// checkCalls compares the outcome of every ended call with the back ends' executions.
+func (c *cluster) checkCalls() {
+	for _, call := range c.endedCalls {
 		runs := c.executions[call.id]
 		if call.outcome == "not-run" && runs > 0 {
-			c.world.violate(invariantNotRun, "%s ran %d times", call.id, runs)
+			c.simulation.violate(invariantNotRun, "%s ran %d times", call.id, runs)
 		}
 		if call.once && runs > 1 {
-			c.world.violate(invariantOnce, "%s ran %d times", call.id, runs)
+			c.simulation.violate(invariantOnce, "%s ran %d times", call.id, runs)
 		}
 	}
 }
--- a/pkg/sim/relay.go
+++ b/pkg/sim/relay.go
@@ -11,13 +11,13 @@
 
 // Timing of the simulated relays and nodes, as in the daemons.
 const (
-	relayPing    = time.Second
-	relaySilence = 3 * time.Second
-	nodePing     = 2 * time.Second
-	nodeSilence  = 5 * time.Second
+	relayPingInterval   = time.Second
+	relaySilenceTimeout = 3 * time.Second
+	nodePingInterval    = 2 * time.Second
+	nodeSilenceTimeout  = 5 * time.Second
 )
 
-// relay is a simulated relay.
+// relay is a simulated relay: a subscriber of control that serves nodes.
 type relay struct {
 	process
 	cluster *cluster
@@ -30,8 +30,8 @@
 	if r.alive {
 		return
 	}
-	r.begin()
-	r.world.log("%s starts", r.name)
+	r.startRun()
+	r.simulation.log("%s starts", r.name)
 	r.holder = distribution.NewHolder(bundle.ScopeAll, r.cluster.verifier, nil)
 	r.server = newServer(&r.process, r.holder.State(), r.freshness)
 	r.client = &subscriber{
@@ -39,15 +39,15 @@
 		hello:        protocol.Hello{Role: protocol.RoleRelay, Name: r.name, Zone: r.zone, Group: bundle.ScopeAll},
 		selector:     r.cluster.selector(r.zone, r.cluster.controlProcesses()),
 		lookup:       r.cluster.lookupControl,
-		pingInterval: relayPing, silenceTimeout: relaySilence,
+		pingInterval: relayPingInterval, silenceTimeout: relaySilenceTimeout,
 	}
 	r.client.start()
 }
 
 func (r *relay) kill() {
 	if r.alive {
-		r.world.log("%s dies", r.name)
-		r.end()
+		r.simulation.log("%s is killed", r.name)
+		r.endRun()
 	}
 }
 
--- a/pkg/sim/run.go
+++ b/pkg/sim/run.go
@@ -8,22 +8,22 @@
 	"bramblelift/pkg/bench/profile"
 )
 
-// Options describe a run.
+// Options configure a run.
 type Options struct {
 	Seed    uint64
 	Profile string
-	// Controls is how many control replicas there are; 0 for 3. More than three grow out
-	// of the first three, as with seeds, and silent ones are removed.
+	// Controls is the number of control replicas; 0 means 3. Replicas beyond three join
+	// after the first three have created the cluster, and unreachable replicas are removed.
 	Controls int
-	// Faults is a comma-separated list of kinds, or "all".
+	// Faults is a comma-separated list of fault names, or "all".
 	Faults string
-	// Trace, if set, takes every line of the trace.
+	// Trace receives every line of the trace, if it is set.
 	Trace io.Writer
-	// FaultTime is how long faults come and go.
+	// FaultTime is the virtual time during which faults are injected.
 	FaultTime time.Duration
 }
 
-// Result is how a run ended.
+// Result is the outcome of a run.
 type Result struct {
 	Seed       uint64
 	Steps      int
@@ -33,112 +33,113 @@
 	Accepted   uint64
 	Digest     uint64
 	Violations []Violation
-	// Settled is how long after the last fault healed a new version was in force
-	// everywhere.
+	// Settled is the virtual time from the end of the faults until a new version was in
+	// force on every node.
 	Settled time.Duration
 }
 
 // Bounds of a run.
 const (
-	// DefaultFaultTime is how long faults last in a run.
+	// DefaultFaultTime is the fault time of a full-length run.
 	DefaultFaultTime = 40 * time.Second
-	// warmUp is how long the system runs before the first fault.
+	// warmUp is the time before the first fault.
 	warmUp = 4 * time.Second
-	// acceptBound is within what time after the last fault an operator must get a
+	// acceptBound is the time after the last fault within which an operator must get a
 	// version accepted.
 	acceptBound = 15 * time.Second
-	// convergeBound is within what time an accepted version must be in force on
-	// every node.
+	// convergeBound is the time within which an accepted version must be in force on every
+	// node.
 	convergeBound = 8 * time.Second
-	// repairBound is within what time after the last fault every machine must have a
-	// voting replica that holds all that is committed.
-	repairBound = 30 * time.Second
-	minAnswered = 100
+	// repairBound is the time after the last fault within which every machine must have a
+	// voting replica with all committed entries.
+	repairBound      = 30 * time.Second
+	minAnsweredCalls = 100
 )
 
-// Run simulates one seed.
+// Run simulates one seed. It returns an error if the options are invalid; broken
+// invariants are in the result.
 func Run(options Options) (Result, error) {
 	chosen, err := profile.Find(options.Profile)
 	if err != nil {
 		return Result{}, err
 	}
-	kinds, err := chooseFaults(options.Faults, options.Controls > firstControls)
+	kinds, err := chooseFaults(options.Faults, options.Controls > initialControls)
 	if err != nil {
 		return Result{}, err
 	}
-	w := newWorld(options.Seed, options.Trace)
-	w.stopAtFirst = true
-	c, err := newCluster(w, chosen.Zones, chosen.ZoneLatency, max(firstControls, options.Controls))
+	sim := newSimulation(options.Seed, options.Trace)
+	sim.stopAtFirst = true
+	c, err := newCluster(sim, chosen.Zones, chosen.ZoneLatency, max(initialControls, options.Controls))
 	if err != nil {
 		return Result{}, fmt.Errorf("simulate seed %d: %w", options.Seed, err)
 	}
 	c.start()
-	w.runUntil(warmUp, nil)
-	x := &chaos{cluster: c, kinds: kinds}
-	x.run()
-	w.runUntil(warmUp+options.FaultTime, nil)
-	x.healAll()
-	settled := c.settle(options.FaultTime >= DefaultFaultTime)
-	c.judgeCalls()
-	c.judgeOperators()
+	sim.runUntil(warmUp, nil)
+	injector := &faultInjector{cluster: c, kinds: kinds}
+	injector.run()
+	sim.runUntil(warmUp+options.FaultTime, nil)
+	injector.healAll()
+	settled := c.checkProgress(options.FaultTime >= DefaultFaultTime)
+	c.checkCalls()
+	c.checkLinearizability()
 	return Result{
-		Seed: options.Seed, Steps: w.steps, Faults: x.struck, Calls: c.callsEnded, Answered: c.answered,
-		Accepted: c.acceptedHighest, Digest: w.digest.Sum64(), Violations: w.violations, Settled: settled,
+		Seed: options.Seed, Steps: sim.steps, Faults: injector.injectedCount, Calls: c.callsEnded, Answered: c.answered,
+		Accepted: c.highestAccepted, Digest: sim.digest.Sum64(), Violations: sim.violations, Settled: settled,
 	}, nil
 }
 
-// settle checks progress once all faults are healed: a version begun from now on must
-// be accepted, and be in force on every node, in time. A run of full length must also
-// have answered calls.
-func (c *cluster) settle(fullLength bool) time.Duration {
-	w := c.world
-	healedAt := w.now
-	before := c.acceptedHighest
-	accepted := func() bool { return c.acceptedHighest > before && c.acceptedAt > healedAt }
-	w.runUntil(healedAt+acceptBound, accepted)
-	if w.stopAtFirst && len(w.violations) > 0 {
+// checkProgress checks that after all faults are healed a new version is accepted and in
+// force on every node in time. A run of full length must also have answered calls. It
+// returns the time until the version was in force everywhere, or 0.
+func (c *cluster) checkProgress(fullLength bool) time.Duration {
+	sim := c.simulation
+	healedAt := sim.now
+	previousHighest := c.highestAccepted
+	accepted := func() bool { return c.highestAccepted > previousHighest && c.acceptedAt > healedAt }
+	sim.runUntil(healedAt+acceptBound, accepted)
+	if sim.stopAtFirst && len(sim.violations) > 0 {
 		return 0
 	}
 	if !accepted() {
-		w.violate(invariantProgress, "no version was accepted within %s of the last fault", acceptBound)
+		sim.violate(invariantProgress, "no version was accepted within %s of the last fault", acceptBound)
 		return 0
 	}
 	for _, o := range c.operators {
-		o.quiet = true
+		o.paused = true
 	}
-	// Rounds under way may still roll a later version, so the target moves.
-	everywhere := func() bool {
+	// Rounds in flight may still roll a later version, so the target changes.
+	inForceEverywhere := func() bool {
 		for _, n := range c.nodes {
-			if c.inForce[n.name] < c.acceptedHighest {
+			if c.versionInForce[n.name] < c.highestAccepted {
 				return false
 			}
 		}
 		return true
 	}
-	w.runUntil(c.acceptedAt+convergeBound, everywhere)
-	if len(w.violations) > 0 {
+	sim.runUntil(c.acceptedAt+convergeBound, inForceEverywhere)
+	if len(sim.violations) > 0 {
 		return 0
 	}
-	if !everywhere() {
-		c.reportLaggards()
+	if !inForceEverywhere() {
+		c.reportLaggingNodes()
 		return 0
 	}
-	settled := w.now - healedAt
-	w.runUntil(healedAt+repairBound, c.repaired)
-	if !c.repaired() && len(w.violations) == 0 {
-		w.violate(invariantRepair, "a replaced replica does not hold everything %s after the last fault", repairBound)
+	settled := sim.now - healedAt
+	sim.runUntil(healedAt+repairBound, c.fullyReplicated)
+	if !c.fullyReplicated() && len(sim.violations) == 0 {
+		sim.violate(invariantRepair, "not every machine has a complete replica %s after the last fault", repairBound)
 	}
-	if fullLength && c.answered < minAnswered {
-		w.violate(invariantProgress, "only %d calls were answered", c.answered)
+	if fullLength && c.answered < minAnsweredCalls {
+		sim.violate(invariantProgress, "only %d calls were answered", c.answered)
 	}
 	return settled
 }
 
-func (c *cluster) reportLaggards() {
+func (c *cluster) reportLaggingNodes() {
 	for _, n := range c.nodes {
-		if c.inForce[n.name] < c.acceptedHighest {
-			c.world.violate(invariantProgress, "%s has version %d in force %s after version %d was accepted",
-				n.name, c.inForce[n.name], convergeBound, c.acceptedHighest)
+		if c.versionInForce[n.name] < c.highestAccepted {
+			c.simulation.violate(invariantProgress, "%s has version %d in force %s after version %d was accepted",
+				n.name, c.versionInForce[n.name], convergeBound, c.highestAccepted)
 		}
 	}
 }
--- a/pkg/sim/sim_test.go
+++ b/pkg/sim/sim_test.go
@@ -11,10 +11,10 @@
 	"github.com/matryer/is"
 )
 
-// fixedSeeds is how many seeds of each profile CI runs.
-const fixedSeeds = 60
+// seedsPerProfile is the number of seeds tested for each profile.
+const seedsPerProfile = 60
 
-// regressionSeeds once showed a fault; the commits that mended them name the cause.
+// regressionSeeds are additional seeds that exposed faults.
 var regressionSeeds = map[string][]uint64{
 	"san-jose":     {675, 885, 963, 5188, 10139, 31534},
 	"colombo-west": {542, 4046},
@@ -23,22 +23,22 @@
 func TestInvariantsHoldUnderAllFaults(t *testing.T) {
 	for _, name := range profile.Names() {
 		seeds := regressionSeeds[name]
-		for seed := range uint64(fixedSeeds) {
+		for seed := range uint64(seedsPerProfile) {
 			seeds = append(seeds, seed+1)
 		}
 		t.Run(name, func(t *testing.T) { runSeeds(t, name, seeds) })
 	}
 }
 
-// grownSeeds is how many seeds CI runs for each size of a cluster that has grown.
-const grownSeeds = 25
+// seedsPerClusterSize is the number of seeds tested for each size of expanded cluster.
+const seedsPerClusterSize = 25
 
-// Clusters of four and five voters, grown out of three; machines are replaced by others at
-// new addresses, disks are full.
-func TestGrownClustersKeepTheInvariants(t *testing.T) {
+// Guards against broken invariants in clusters of four and five voters, with replaced
+// machines and full disks.
+func TestInvariantsHoldInExpandedClusters(t *testing.T) {
 	for _, controls := range []int{4, 5} {
 		t.Run(fmt.Sprint(controls), func(t *testing.T) {
-			for seed := range uint64(grownSeeds) {
+			for seed := range uint64(seedsPerClusterSize) {
 				for _, list := range []string{"all", "full-disk,replace-control,kill-leader"} {
 					options := Options{Seed: seed + 1, Profile: "colombo-west", Faults: list, Controls: controls, FaultTime: DefaultFaultTime}
 					t.Run(fmt.Sprintf("%s %d", list, seed+1), func(t *testing.T) {
@@ -55,15 +55,15 @@
 	}
 }
 
-// runSeeds runs seeds a few at a time.
+// runSeeds runs up to four seeds at a time.
 func runSeeds(t *testing.T, name string, seeds []uint64) {
 	t.Helper()
 	var group sync.WaitGroup
-	places := make(chan struct{}, 4)
+	slots := make(chan struct{}, 4)
 	for _, seed := range seeds {
-		places <- struct{}{}
+		slots <- struct{}{}
 		group.Go(func() {
-			defer func() { <-places }()
+			defer func() { <-slots }()
 			result, err := Run(Options{Seed: seed, Profile: name, Faults: "all", FaultTime: DefaultFaultTime})
 			if err != nil {
 				t.Errorf("seed %d: %v", seed, err)
@@ -76,7 +76,7 @@
 	group.Wait()
 }
 
-// TestEachFaultAlone strikes with one kind of fault at a time.
+// TestEachFaultAlone injects one kind of fault at a time.
 func TestEachFaultAlone(t *testing.T) {
 	for _, kind := range faults {
 		t.Run(kind.name, func(t *testing.T) {
@@ -84,7 +84,7 @@
 				result, err := Run(Options{Seed: seed + 1, Profile: "colombo-west", Faults: kind.name, FaultTime: DefaultFaultTime})
 				is := is.New(t)
 				is.NoErr(err)
-				is.True(result.Faults > 0) // the fault did strike
+				is.True(result.Faults > 0) // at least one fault was injected
 				for _, violation := range result.Violations {
 					t.Errorf("seed %d: %s", seed+1, violation)
 				}
@@ -93,7 +93,7 @@
 	}
 }
 
-func TestSameSeedGivesTheSameTrace(t *testing.T) {
+func TestSameSeedProducesSameTrace(t *testing.T) {
 	is := is.New(t)
 	options := Options{Seed: 42, Profile: "san-jose", Faults: "all", FaultTime: 15 * time.Second}
 	first, err := Run(options)
@@ -107,7 +107,7 @@
 	is.True(third.Digest != first.Digest)
 }
 
-func TestUnknownNamesAreErrors(t *testing.T) {
+func TestUnknownProfileOrFaultIsAnError(t *testing.T) {
 	is := is.New(t)
 	_, err := Run(Options{Profile: "nowhere", Faults: "all"})
 	is.True(err != nil)
@@ -115,25 +115,26 @@
 	is.True(err != nil)
 }
 
-// judged returns what the operators' checker says of a history.
-func judged(t *testing.T, records ...*operationRecord) int {
+// countViolations returns the number of violations that the linearizability check finds
+// in a history.
+func countViolations(t *testing.T, records ...*operationRecord) int {
 	t.Helper()
-	w := newWorld(1, nil)
+	sim := newSimulation(1, nil)
 	chosen, err := profile.Find("san-jose")
 	is.New(t).NoErr(err)
-	c, err := newCluster(w, chosen.Zones, chosen.ZoneLatency, firstControls)
+	c, err := newCluster(sim, chosen.Zones, chosen.ZoneLatency, initialControls)
 	is.New(t).NoErr(err)
 	c.operations = records
-	c.judgeOperators()
-	return len(w.violations)
+	c.checkLinearizability()
+	return len(sim.violations)
 }
 
 func operation(client int, from, to int, input operationInput, output operationOutput) *operationRecord {
 	output.known = true
-	return &operationRecord{client: client, input: input, output: output, call: time.Duration(from), ended: time.Duration(to)}
+	return &operationRecord{client: client, input: input, output: output, calledAt: time.Duration(from), returnedAt: time.Duration(to)}
 }
 
-func TestOperatorsCheckerTrips(t *testing.T) {
+func TestLinearizabilityCheckerRejectsInvalidHistories(t *testing.T) {
 	is := is.New(t)
 	create := func(client, from, to int, expected uint64, ok bool) *operationRecord {
 		return operation(client, from, to, operationInput{kind: createOperation, expected: expected, valid: true}, operationOutput{ok: ok, head: expected + 1})
@@ -145,7 +146,7 @@
 		return operation(client, from, to, operationInput{kind: readOperation}, operationOutput{head: head, active: active})
 	}
 	good := []*operationRecord{create(0, 1, 2, 0, true), create(1, 1, 3, 0, false), roll(0, 4, 5, 1), read(1, 6, 7, 1, 1)}
-	is.Equal(judged(t, good...), 0)
+	is.Equal(countViolations(t, good...), 0)
 	for name, bad := range map[string][]*operationRecord{
 		"two winners under one number": {create(0, 1, 2, 0, true), create(1, 1, 3, 0, true)},
 		"read after roll is old":       {create(0, 1, 2, 0, true), roll(0, 3, 4, 1), read(1, 5, 6, 1, 0)},
@@ -153,18 +154,18 @@
 		"head comes from nowhere":      {read(0, 1, 2, 4, 0)},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if judged(t, bad...) == 0 {
-				t.Error("the checker let it pass")
+			if countViolations(t, bad...) == 0 {
+				t.Error("the checker accepted an invalid history")
 			}
 		})
 	}
 }
 
-func TestDiskForgetsWhatWasNotSynced(t *testing.T) {
+func TestDiskCrashLosesUnsyncedData(t *testing.T) {
 	is := is.New(t)
 	lost, kept := 0, 0
 	for seed := range uint64(50) {
-		d := newDisk(newWorld(seed, nil))
+		d := newDisk(newSimulation(seed, nil))
 		file, err := d.Create("log")
 		is.NoErr(err)
 		_, _ = fmt.Fprint(file, "synced")
@@ -181,5 +182,5 @@
 			kept++
 		}
 	}
-	is.True(lost > 0 && kept > 0) // both can happen
+	is.True(lost > 0 && kept > 0) // both outcomes occur
 }
--- a/pkg/sim/subscribe.go
+++ b/pkg/sim/subscribe.go
@@ -8,7 +8,7 @@
 	"bramblelift/pkg/stream"
 )
 
-// server is the serving side of subscriptions, as stream.Hub runs it.
+// server is the serving side of subscriptions, like stream.Hub.
 type server struct {
 	process   *process
 	planner   *distribution.Planner
@@ -28,65 +28,65 @@
 
 func (s *server) setState(state *distribution.State) {
 	s.planner.SetState(state)
-	for _, open := range s.sessions {
-		s.sendDue(open)
+	for _, sess := range s.sessions {
+		s.sendPending(sess)
 	}
 }
 
 // accept opens a session for a client.
 func (s *server) accept(conn *connection, client *subscriber, hello protocol.Hello) *serverSession {
-	open := &serverSession{session: stream.NewSession(hello.Group, hello.Position), conn: conn, client: client}
-	s.sessions = append(s.sessions, open)
-	conn.onServerClose = func() { s.drop(open) }
-	s.sendDue(open)
-	return open
+	sess := &serverSession{session: stream.NewSession(hello.Group, hello.Position), conn: conn, client: client}
+	s.sessions = append(s.sessions, sess)
+	conn.onServerClose = func() { s.removeSession(sess) }
+	s.sendPending(sess)
+	return sess
 }
 
-func (s *server) drop(gone *serverSession) {
-	for i, open := range s.sessions {
-		if open == gone {
+func (s *server) removeSession(closed *serverSession) {
+	for i, sess := range s.sessions {
+		if sess == closed {
 			s.sessions = append(s.sessions[:i:i], s.sessions[i+1:]...)
 			return
 		}
 	}
 }
 
-func (s *server) takePing(open *serverSession, ping protocol.Ping) {
-	open.session.TakePing(ping)
-	s.sendDue(open)
+func (s *server) handlePing(sess *serverSession, ping protocol.Ping) {
+	sess.session.TakePing(ping)
+	s.sendPending(sess)
 }
 
-func (s *server) sendDue(open *serverSession) {
-	update, pong, err := open.session.Due(s.planner, s.freshness())
+func (s *server) sendPending(sess *serverSession) {
+	update, pong, err := sess.session.Due(s.planner, s.freshness())
 	if err != nil {
-		s.process.world.violate(invariantPlan, "%s cannot plan an update: %v", s.process.name, err)
+		s.process.simulation.violate(invariantPlan, "%s cannot plan an update: %v", s.process.name, err)
 		return
 	}
-	client := open.client
+	client := sess.client
 	if update != nil {
-		update = client.network.garbled(update)
-		open.conn.send(toClient, func() { client.takeUpdate(open.conn, update) })
+		update = client.network.maybeCorrupt(update)
+		sess.conn.send(toClient, func() { client.handleUpdate(sess.conn, update) })
 	}
 	if pong != nil {
-		open.conn.send(toClient, func() { client.takePong(open.conn, *pong) })
+		sess.conn.send(toClient, func() { client.handlePong(sess.conn, *pong) })
 	}
 }
 
-// subscriber is the client side of a subscription, as stream.Client runs it.
+// subscriber is the client side of a subscription, like stream.Client.
 type subscriber struct {
 	process  *process
 	network  *network
 	target   stream.Target
 	hello    protocol.Hello
 	selector *stream.Selector
-	// lookup finds a server by name; it may be dead.
+	// lookup finds a server by name; its process may not be running.
 	lookup         func(name string) (*process, func() *server)
 	pingInterval   time.Duration
 	silenceTimeout time.Duration
 	onConfirmed    func(at time.Duration)
 
 	conn         *connection
-	open         *serverSession
+	session      *serverSession
 	subscription *stream.Subscription
 	lastHeard    time.Duration
 	confirmedAt  time.Duration
@@ -96,48 +96,49 @@
 
 const firstPingInterval = 150 * time.Millisecond
 
-func (s *subscriber) start() { s.tryNext() }
+func (s *subscriber) start() { s.connectNext() }
 
-func (s *subscriber) tryNext() {
+func (s *subscriber) connectNext() {
 	candidate, wait := s.selector.Next(s.process.clock())
-	s.process.later(wait, func() {
-		peer, serving := s.lookup(candidate.Address)
-		s.network.dial(s.process, peer, func(conn *connection) { s.connected(conn, serving) }, func() { s.failed() })
+	s.process.afterLocal(wait, func() {
+		peer, currentServer := s.lookup(candidate.Address)
+		s.network.dial(s.process, peer, func(conn *connection) { s.connected(conn, currentServer) }, func() { s.connectFailed() })
 	})
 }
 
-func (s *subscriber) failed() {
-	s.process.world.log("%s has no subscription", s.process.name)
+func (s *subscriber) connectFailed() {
+	s.process.simulation.log("%s has no subscription", s.process.name)
 	s.conn = nil
 	s.selector.Failed(s.process.clock(), 0)
-	s.tryNext()
+	s.connectNext()
 }
 
-func (s *subscriber) connected(conn *connection, serving func() *server) {
+func (s *subscriber) connected(conn *connection, currentServer func() *server) {
 	s.conn = conn
-	s.open = nil
+	s.session = nil
 	s.subscription = stream.NewSubscription()
-	s.process.world.log("%s subscribes to %s", s.process.name, conn.server.name)
+	s.process.simulation.log("%s subscribes to %s", s.process.name, conn.server.name)
 	s.lastHeard = s.process.clock()
-	conn.onClientClose = func() { s.lost(conn) }
+	conn.onClientClose = func() { s.connectionLost(conn) }
 	hello := s.hello
 	hello.Position = s.target.Position()
 	if s.resync {
 		hello.Position = distribution.Position{}
 		s.resync = false
 	}
-	conn.send(toServer, func() { s.open = serving().accept(conn, s, hello) })
+	conn.send(toServer, func() { s.session = currentServer().accept(conn, s, hello) })
 	s.ping(conn)
 	s.watchSilence(conn)
 }
 
-// lost ends the subscription on a connection, unless it has been left already.
-func (s *subscriber) lost(conn *connection) {
+// connectionLost closes a connection and connects again, unless the subscriber has
+// already left the connection.
+func (s *subscriber) connectionLost(conn *connection) {
 	if s.conn != conn {
 		return
 	}
-	conn.closeBy(s.process)
-	s.failed()
+	conn.closeFrom(s.process)
+	s.connectFailed()
 }
 
 func (s *subscriber) ping(conn *connection) {
@@ -146,22 +147,22 @@
 	}
 	ping := s.subscription.Ping(s.process.clock(), s.target.Position())
 	conn.send(toServer, func() {
-		peer, serving := conn.server, s.open
-		if serving != nil && peer.alive {
-			s.serverOf(serving).takePing(serving, ping)
+		peer, sess := conn.server, s.session
+		if sess != nil && peer.alive {
+			s.serverOf(sess).handlePing(sess, ping)
 		}
 	})
 	interval := s.pingInterval
 	if !s.confirmed {
 		interval = min(interval, firstPingInterval)
 	}
-	s.process.later(interval, func() { s.ping(conn) })
+	s.process.afterLocal(interval, func() { s.ping(conn) })
 }
 
-// serverOf finds the server that a session belongs to.
-func (s *subscriber) serverOf(open *serverSession) *server {
-	_, serving := s.lookup(open.conn.server.name)
-	return serving()
+// serverOf returns the current server of the process that holds the session.
+func (s *subscriber) serverOf(sess *serverSession) *server {
+	_, currentServer := s.lookup(sess.conn.server.name)
+	return currentServer()
 }
 
 func (s *subscriber) watchSilence(conn *connection) {
@@ -169,32 +170,32 @@
 		return
 	}
 	if s.process.clock()-s.lastHeard > s.silenceTimeout {
-		s.lost(conn)
+		s.connectionLost(conn)
 		return
 	}
-	s.process.later(s.silenceTimeout/4, func() { s.watchSilence(conn) })
+	s.process.afterLocal(s.silenceTimeout/4, func() { s.watchSilence(conn) })
 }
 
-func (s *subscriber) takeUpdate(conn *connection, update *distribution.Update) {
+func (s *subscriber) handleUpdate(conn *connection, update *distribution.Update) {
 	if s.conn != conn {
 		return
 	}
 	s.lastHeard = s.process.clock()
 	if err := s.target.Apply(update); err != nil {
-		s.process.world.log("%s declines an update: %v", s.process.name, err)
+		s.process.simulation.log("%s rejects an update: %v", s.process.name, err)
 		s.resync = true
-		s.lost(conn)
+		s.connectionLost(conn)
 	}
 }
 
-func (s *subscriber) takePong(conn *connection, pong protocol.Pong) {
+func (s *subscriber) handlePong(conn *connection, pong protocol.Pong) {
 	if s.conn != conn {
 		return
 	}
 	s.lastHeard = s.process.clock()
 	at, confirmed, err := s.subscription.TakePong(pong, s.target)
 	if err != nil {
-		s.lost(conn)
+		s.connectionLost(conn)
 		return
 	}
 	if confirmed && (!s.confirmed || at > s.confirmedAt) && at >= 0 {
@@ -204,19 +205,19 @@
 		}
 	}
 	if s.selector.Heard(s.process.clock(), stream.Standing{Confirmed: confirmed, Stale: pong.Stale, Behind: pong.Revision < s.target.Position().Revision}) {
-		s.lost(conn)
+		s.connectionLost(conn)
 		return
 	}
 	if s.selector.Nearer(s.process.clock()) {
-		s.moveNearer(conn)
+		s.moveToLocalZone(conn)
 	}
 }
 
-// moveNearer goes to a server of the own zone.
-func (s *subscriber) moveNearer(conn *connection) {
-	conn.closeBy(s.process)
-	s.process.world.log("%s moves to a server of its zone", s.process.name)
+// moveToLocalZone reconnects to a server in the subscriber's own zone.
+func (s *subscriber) moveToLocalZone(conn *connection) {
+	conn.closeFrom(s.process)
+	s.process.simulation.log("%s moves to a server of its zone", s.process.name)
 	s.conn = nil
 	s.selector.Move(s.process.clock())
-	s.tryNext()
+	s.connectNext()
 }
