--- a/test/integration/command_test.go
+++ b/test/integration/command_test.go
@@ -16,8 +16,8 @@
 	"github.com/matryer/is"
 )
 
-// operate runs the operators' client and returns its exit code and output.
-func (s *system) operate(arguments ...string) (code int, out string) {
+// runCtl runs bramblectl in this process and returns its exit code and output.
+func (s *system) runCtl(arguments ...string) (code int, out string) {
 	var stdout, stderr bytes.Buffer
 	all := []string{"--timeout", "8s"}
 	for _, address := range s.Operators() {
@@ -33,13 +33,13 @@
 	return path
 }
 
-// TestOperatorsCommandLine is an operator's day: every command, with its exit codes.
-func TestOperatorsCommandLine(t *testing.T) {
+// TestCommandLineExitCodesAndOutput guards the exit code and output of each command.
+func TestCommandLineExitCodesAndOutput(t *testing.T) {
 	is := is.New(t)
 	s := startSystem(t, nil)
 	expect := func(want int, contains string, arguments ...string) string {
 		t.Helper()
-		code, out := s.operate(arguments...)
+		code, out := s.runCtl(arguments...)
 		if code != want || !strings.Contains(out, contains) {
 			t.Fatalf("%v: exit %d, expected %d with %q:\n%s", arguments, code, want, contains, out)
 		}
@@ -64,7 +64,7 @@
 	expect(ctl.ExitOK, `"in_force": 4`, "watch", "2", "--json")
 	expect(ctl.ExitRefused, "superseded", "bundle", "roll", "1")
 	diff := expect(ctl.ExitOK, `changed secret "backend-credential"`, "diff", "1", "2")
-	is.True(!strings.Contains(diff, "hidden-credential")) // values never show
+	is.True(!strings.Contains(diff, "hidden-credential")) // secret values are not shown
 	expect(ctl.ExitOK, "HAND-BACK", "bundle", "list")
 	expect(ctl.ExitOK, "version 3 active", append([]string{"bundle", "hand-back"}, sign...)...)
 	expect(ctl.ExitOK, "version 4 created", "bundle", "create", "--from-version", "2")
@@ -90,24 +90,24 @@
 	expect(ctl.ExitOK, "bramblectl", "version")
 }
 
-// TestBundleFromTheSource creates versions from the configuration source, which fails
-// for a while.
-func TestBundleFromTheSource(t *testing.T) {
+// TestBundleIsCreatedFromConfigurationSource guards against versions created while the
+// configuration source is unavailable or lacks the bundle.
+func TestBundleIsCreatedFromConfigurationSource(t *testing.T) {
 	is := is.New(t)
 	s := startSystem(t, nil)
 	s.platform.SetBundle("shop", s.profile.BundleText("from-source"))
 	s.platform.SetDown(true)
-	code, out := s.operate("bundle", "create", "--source", "shop")
+	code, out := s.runCtl("bundle", "create", "--source", "shop")
 	is.True(code == ctl.ExitRefused && strings.Contains(out, "source-unavailable"))
 	s.platform.SetDown(false)
-	code, out = s.operate("bundle", "create", "--source", "nothing")
+	code, out = s.runCtl("bundle", "create", "--source", "nothing")
 	is.True(code == ctl.ExitRefused && strings.Contains(out, "source-unavailable"))
-	code, out = s.operate("bundle", "create", "--source", "shop")
+	code, out = s.runCtl("bundle", "create", "--source", "shop")
 	is.True(code == ctl.ExitOK && strings.Contains(out, "version 2 created"))
 }
 
-// daemon runs the program to its end and returns its exit code and output.
-func daemon(t *testing.T, arguments ...string) (code int, out string) {
+// runDaemon runs bramblelift until it exits and returns its exit code and output.
+func runDaemon(t *testing.T, arguments ...string) (code int, out string) {
 	t.Helper()
 	binary, err := fleet.FindBinary()
 	is.New(t).NoErr(err)
@@ -116,22 +116,22 @@
 	return command.ProcessState.ExitCode(), string(output)
 }
 
-// TestDaemonRefusesWhatIsNotItsOwn: wrong settings and another's data folder end the
-// process before it does anything.
-func TestDaemonRefusesWhatIsNotItsOwn(t *testing.T) {
+// TestDaemonRejectsWrongSettingsAndForeignData guards against a daemon that runs with
+// another role's settings or another replica's data folder.
+func TestDaemonRejectsWrongSettingsAndForeignData(t *testing.T) {
 	is := is.New(t)
 	s := startSystem(t, nil)
-	settingsOf := func(name string) string { return filepath.Join(s.Config.Folder, name+".toml") }
-	code, out := daemon(t, "control", "--settings", settingsOf("control-1"), "--check")
+	settingsFile := func(name string) string { return filepath.Join(s.Config.Folder, name+".toml") }
+	code, out := runDaemon(t, "control", "--settings", settingsFile("control-1"), "--check")
 	is.Equal(code, 0)
-	is.True(strings.Contains(out, "election_timeout = '1s'")) // what is in force, defaults filled in
-	code, out = daemon(t, "control", "--settings", settingsOf("proxy-1"), "--check")
-	is.True(code == 2 && strings.Contains(out, "unknown key")) // another role's file
-	code, _ = daemon(t, "relay", "--settings", settingsOf("nobody"))
+	is.True(strings.Contains(out, "election_timeout = '1s'")) // effective settings, with defaults
+	code, out = runDaemon(t, "control", "--settings", settingsFile("proxy-1"), "--check")
+	is.True(code == 2 && strings.Contains(out, "unknown key")) // settings of another role
+	code, _ = runDaemon(t, "relay", "--settings", settingsFile("nobody"))
 	is.Equal(code, 2)
-	code, out = daemon(t, "control", "--settings", settingsOf("control-1"), "--init")
+	code, out = runDaemon(t, "control", "--settings", settingsFile("control-1"), "--init")
 	is.True(code == 1 && strings.Contains(out, "already holds one"))
 	s.Controls[0].Kill()
-	code, out = daemon(t, "control", "--settings", settingsOf("control-2"), "--data", s.DataFolder("control-1"))
+	code, out = runDaemon(t, "control", "--settings", settingsFile("control-2"), "--data", s.DataFolder("control-1"))
 	is.True(code == 1 && strings.Contains(out, "belongs to"))
 }
--- a/test/integration/control_test.go
+++ b/test/integration/control_test.go
@@ -18,12 +18,12 @@
 	"github.com/matryer/is"
 )
 
-// TestLeaderKilledInMidCommit: versions are published without pause while one leader
-// after another is killed; what was accepted stays, and is in force everywhere in time.
-func TestLeaderKilledInMidCommit(t *testing.T) {
+// TestAcceptedVersionsSurviveLeaderKills guards against accepted versions that are lost
+// or delayed when the leader is killed during a commit.
+func TestAcceptedVersionsSurviveLeaderKills(t *testing.T) {
 	is := is.New(t)
 	s := startSystem(t, nil)
-	s.watch()
+	s.startRecordingVersions()
 	for round := range 3 {
 		leader, err := s.Leader()
 		is.NoErr(err)
@@ -36,34 +36,34 @@
 		<-killed
 		is.NoErr(s.awaitVersion(s.Proxies, accepted))
 		is.NoErr(leader.Start())
-		is.NoErr(s.awaitRepair())
+		is.NoErr(s.awaitFullReplication())
 		status, err := s.status()
 		is.NoErr(err)
-		is.True(status.Active >= accepted) // never reverts
+		is.True(status.Active >= accepted) // an accepted version never reverts
 	}
-	s.judge()
+	s.checkHistory()
 }
 
-// TestSecondLossRightAfterRepair: a replica's disk is lost; as soon as the repair is
-// called done, another one is lost for good. Nothing accepted may be lost.
-func TestSecondLossRightAfterRepair(t *testing.T) {
+// TestAcceptedVersionSurvivesSecondDiskLossAfterRepair guards against a repair that is
+// reported as complete before another disk can be lost safely.
+func TestAcceptedVersionSurvivesSecondDiskLossAfterRepair(t *testing.T) {
 	is := is.New(t)
 	s := startSystem(t, nil)
-	s.watch()
+	s.startRecordingVersions()
 	accepted := s.publish()
 	before, err := s.status()
 	is.NoErr(err)
 	s.loseDisk(s.Controls[0])
 	is.NoErr(s.Controls[0].Start())
-	// The lost disk's last word counts until the leader has missed its heartbeats.
-	is.NoErr(eventually(setupLimit, func() error {
+	// The old replica counts as durable until the leader has missed its heartbeats.
+	is.NoErr(eventually(setupTimeout, func() error {
 		now, err := s.status()
-		if err == nil && identityOf(now, "control-1") == identityOf(before, "control-1") {
-			err = errors.New("control-1 is still known as the replica whose disk is lost")
+		if err == nil && newestReplicaID(now, "control-1") == newestReplicaID(before, "control-1") {
+			err = errors.New("control-1 still has the ID of the replica whose disk was lost")
 		}
 		return err
 	}))
-	is.NoErr(s.awaitRepair())
+	is.NoErr(s.awaitFullReplication())
 	s.loseDisk(s.Controls[1])
 	status, err := s.status()
 	is.NoErr(err)
@@ -71,12 +71,12 @@
 	accepted = s.publish()
 	is.NoErr(s.awaitVersion(s.Proxies, accepted))
 	is.NoErr(s.Controls[1].Start())
-	is.NoErr(s.awaitRepair())
-	s.judge()
+	is.NoErr(s.awaitFullReplication())
+	s.checkHistory()
 }
 
-// identityOf returns the newest replica's ID of a machine.
-func identityOf(status operator.Status, name string) uint64 {
+// newestReplicaID returns the ID of the newest replica on a machine.
+func newestReplicaID(status operator.Status, name string) uint64 {
 	var found uint64
 	for _, replica := range status.Replicas {
 		if replica.Name == name {
@@ -86,36 +86,35 @@
 	return found
 }
 
-// TestLeaderCutOffInSilence: the leader hears nobody and nobody hears it, but every
-// connection stays open. It must stop answering operators, and the nodes whose relays
-// were on it must get what the others accept.
-func TestLeaderCutOffInSilence(t *testing.T) {
+// TestPartitionedLeaderStopsAnswering guards against a leader that answers operators, or
+// keeps relays on old versions, while its connections are open but drop all data.
+func TestPartitionedLeaderStopsAnswering(t *testing.T) {
 	is := is.New(t)
 	s := startSystem(t, nil)
-	s.watch()
+	s.startRecordingVersions()
 	leader, err := s.Leader()
 	is.NoErr(err)
 	is.NoErr(s.network.Cut(faultnet.Between(faultnet.Names(leader.Name), faultnet.Not(faultnet.Names(leader.Name)))))
 	accepted := s.publish()
 	is.NoErr(s.awaitVersion(s.Proxies, accepted))
-	alone := operator.NewClient([]string{leader.Admin})
+	leaderClient := operator.NewClient([]string{leader.Admin})
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	err = alone.Do(ctx, http.MethodGet, operator.PathStatus, nil, &operator.Status{})
-	is.True(err != nil) // it cannot know any more
+	err = leaderClient.Do(ctx, http.MethodGet, operator.PathStatus, nil, &operator.Status{})
+	is.True(err != nil) // without a quorum it has no valid lease
 	accepted = s.publish()
 	is.NoErr(s.awaitVersion(s.Proxies, accepted))
 	is.NoErr(s.network.Heal())
-	is.NoErr(s.awaitRepair())
-	s.judge()
+	is.NoErr(s.awaitFullReplication())
+	s.checkHistory()
 }
 
-// TestFrozenLeaderWakesUp: the leader and a relay are frozen while the others move on.
-// When the leader wakes up its lease is in the past: it must not answer from before.
-func TestFrozenLeaderWakesUp(t *testing.T) {
+// TestThawedLeaderServesNoStaleStatus guards against a leader that answers under its
+// expired lease after it was frozen.
+func TestThawedLeaderServesNoStaleStatus(t *testing.T) {
 	is := is.New(t)
 	s := startSystem(t, nil)
-	s.watch()
+	s.startRecordingVersions()
 	leader, err := s.Leader()
 	is.NoErr(err)
 	is.NoErr(leader.Freeze())
@@ -124,55 +123,54 @@
 	is.NoErr(s.awaitVersion(s.Proxies, accepted))
 	accepted = s.publish()
 	is.NoErr(leader.Thaw())
-	alone := operator.NewClient([]string{leader.Admin})
+	leaderClient := operator.NewClient([]string{leader.Admin})
 	ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 	defer cancel()
 	for ctx.Err() == nil {
 		var status operator.Status
-		if alone.Do(ctx, http.MethodGet, operator.PathStatus, nil, &status) == nil {
-			is.True(status.Active >= accepted) // an answer is never from before
+		if leaderClient.Do(ctx, http.MethodGet, operator.PathStatus, nil, &status) == nil {
+			is.True(status.Active >= accepted) // no stale status
 		}
 	}
 	is.NoErr(s.Relays[0].Thaw())
 	is.NoErr(s.awaitVersion(s.Proxies, accepted))
-	is.NoErr(s.awaitRepair())
-	s.judge()
+	is.NoErr(s.awaitFullReplication())
+	s.checkHistory()
 }
 
-// TestZoneCutOffAndHealed: a zone keeps serving on what it has, and has the newest
-// version soon after the cut ends.
-func TestZoneCutOffAndHealed(t *testing.T) {
+// TestPartitionedZoneKeepsServingAndCatchesUp guards against failed calls in a zone
+// without control, and against an old version there after the partition heals.
+func TestPartitionedZoneKeepsServingAndCatchesUp(t *testing.T) {
 	is := is.New(t)
 	s := startSystem(t, nil)
-	s.watch()
-	var inside []string
-	var insideNodes []*fleet.Node
+	s.startRecordingVersions()
+	var zoneProcesses []string
+	var zoneNodes []*fleet.Node
 	for _, node := range s.All() {
 		if node.Zone == s.profile.Zones[1] {
-			inside = append(inside, node.Name)
+			zoneProcesses = append(zoneProcesses, node.Name)
 		}
 	}
 	for _, node := range s.Proxies {
 		if node.Zone == s.profile.Zones[1] {
-			insideNodes = append(insideNodes, node)
+			zoneNodes = append(zoneNodes, node)
 		}
 	}
-	is.NoErr(s.network.Cut(faultnet.Between(faultnet.Names(inside...), faultnet.Not(faultnet.Names(inside...)))))
+	is.NoErr(s.network.Cut(faultnet.Between(faultnet.Names(zoneProcesses...), faultnet.Not(faultnet.Names(zoneProcesses...)))))
 	accepted := s.publish()
 	for i := range 20 {
-		call := s.call(insideNodes[i%len(insideNodes)], http.MethodGet, "/pedidos/stock/1", fmt.Sprintf("cut-%d", i), false)
-		is.True(call.Answered() && call.Whole) // cut off from control, not from back ends
+		call := s.call(zoneNodes[i%len(zoneNodes)], http.MethodGet, "/pedidos/stock/1", fmt.Sprintf("cut-%d", i), false)
+		is.True(call.Answered() && call.Whole) // the back ends are still reachable
 		time.Sleep(100 * time.Millisecond)
 	}
 	is.NoErr(s.network.Heal())
 	is.NoErr(s.awaitVersion(s.Proxies, accepted))
-	s.judge()
+	s.checkHistory()
 }
 
-// TestOperatorsRaceWithLostAnswers: operators create versions under one number at the
-// same time, and half of the answers are lost. Each number has one winner, who knows it,
-// and nothing is made twice.
-func TestOperatorsRaceWithLostAnswers(t *testing.T) {
+// TestConcurrentCreatesHaveOneWinnerDespiteLostResponses guards against two creates that
+// win the same version number, and against a resent create that is applied twice.
+func TestConcurrentCreatesHaveOneWinnerDespiteLostResponses(t *testing.T) {
 	is := is.New(t)
 	s := startSystem(t, nil)
 	network := faultnet.New()
@@ -184,24 +182,24 @@
 		addresses = append(addresses, address)
 	}
 	stop := make(chan struct{})
-	var flapping sync.WaitGroup
-	flapping.Go(func() { flap(network, stop) })
+	var dropping sync.WaitGroup
+	dropping.Go(func() { dropResponsesIntermittently(network, stop) })
 
 	var mu sync.Mutex
 	winners := map[uint64]string{}
 	var group sync.WaitGroup
-	for racer := range 3 {
+	for worker := range 3 {
 		group.Go(func() {
 			for round := range 5 {
-				secret := fmt.Sprintf("racer-%d-round-%d", racer, round)
-				version, err := createOne(s, addresses, secret)
+				secret := fmt.Sprintf("racer-%d-round-%d", worker, round)
+				version, err := createVersion(s, addresses, secret)
 				if err != nil {
 					t.Errorf("%s: %v", secret, err)
 					return
 				}
 				mu.Lock()
 				if other, taken := winners[version]; taken {
-					t.Errorf("version %d was won by %s and by %s", version, other, secret)
+					t.Errorf("version %d was created by %s and by %s", version, other, secret)
 				}
 				winners[version] = secret
 				mu.Unlock()
@@ -210,14 +208,14 @@
 	}
 	group.Wait()
 	close(stop)
-	flapping.Wait()
+	dropping.Wait()
 	status, err := s.status()
 	is.NoErr(err)
-	is.Equal(status.Head, uint64(1+len(winners))) // no version was made twice
+	is.Equal(status.Head, uint64(1+len(winners))) // no version was created twice
 }
 
-// flap loses the answers for some moments, again and again.
-func flap(network *faultnet.Network, stop chan struct{}) {
+// dropResponsesIntermittently drops all responses for 40 ms at a time until stop closes.
+func dropResponsesIntermittently(network *faultnet.Network, stop chan struct{}) {
 	for {
 		_ = network.CutAnswers(func(faultnet.Link) bool { return true })
 		time.Sleep(40 * time.Millisecond)
@@ -230,10 +228,10 @@
 	}
 }
 
-// createOne creates a version with a content of its own, on whatever head there is by
-// then, and resends under the same operation ID until it is told the outcome.
-func createOne(s *system, addresses []string, secret string) (uint64, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), setupLimit)
+// createVersion creates a version with a unique secret on the current head, and repeats
+// with a new operation ID after each conflict.
+func createVersion(s *system, addresses []string, secret string) (uint64, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), setupTimeout)
 	defer cancel()
 	client := operator.NewClient(addresses)
 	for {
--- a/test/integration/path_test.go
+++ b/test/integration/end_to_end_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// TestRequestIsServedEndToEnd is the whole path: a version is created, approved and
-// rolled, a call is answered through a proxy, and a second version changes the route.
+// TestRequestIsServedEndToEnd checks that a call is answered through a node, and that a
+// second version adds a route.
 func TestRequestIsServedEndToEnd(t *testing.T) {
 	is := is.New(t)
 	s := startSystem(t, nil)
--- a/test/integration/node_test.go
+++ b/test/integration/node_test.go
@@ -18,19 +18,19 @@
 	"github.com/matryer/is"
 )
 
-// TestHerdDiesAndReturns: all relays and nodes, which have no disks, die at once and
-// come back while control has moved on; none may start below what it held.
-func TestHerdDiesAndReturns(t *testing.T) {
+// TestNodesKeepVersionAfterMassRestart guards against nodes without disks that start
+// with an older version after all relays and nodes were killed together.
+func TestNodesKeepVersionAfterMassRestart(t *testing.T) {
 	is := is.New(t)
 	s := startSystem(t, func(config *fleet.Config) {
 		config.ProxyData = false
 		config.Proxies = 12
 	})
-	s.watch()
+	s.startRecordingVersions()
 	s.publish()
 	accepted := s.publish()
 	is.NoErr(s.awaitVersion(s.Proxies, accepted))
-	s.sight()
+	s.recordVersions()
 	var group sync.WaitGroup
 	for _, node := range append(s.Relays, s.Proxies...) {
 		group.Go(node.Kill)
@@ -40,14 +40,13 @@
 		is.NoErr(node.Start())
 	}
 	is.NoErr(s.awaitVersion(s.Proxies, accepted))
-	s.sight()
-	s.judge()
+	s.recordVersions()
+	s.checkHistory()
 }
 
-// TestOnceCallsWhenBackEndsDie: back ends die before a call, after its work and within
-// its answer; calls that must not repeat run at most once, and what is said of them is
-// true.
-func TestOnceCallsWhenBackEndsDie(t *testing.T) {
+// TestOnceCallsRunAtMostOnceWhenBackEndsCrash guards against repeated execution, and
+// wrong outcomes, when back ends crash before, after or while they answer a call.
+func TestOnceCallsRunAtMostOnceWhenBackEndsCrash(t *testing.T) {
 	s := startSystem(t, nil)
 	for number, backend := range s.backends.All {
 		backend.SetFault(func(callID string, stage standin.Stage) bool {
@@ -63,11 +62,12 @@
 	summary := load.Summarize(s.history.Records())
 	is := is.New(t)
 	is.True(summary.Answered > 100)
-	is.True(summary.Refused+summary.Failed > 20) // the deaths did strike
-	s.judge()
+	is.True(summary.Refused+summary.Failed > 20) // the crashes affected calls
+	s.checkHistory()
 }
 
-// callWithKey sends a call that the standard transport would repeat on its own.
+// callWithKey sends a call with an Idempotency-Key header, which makes http.Transport
+// treat a request as repeatable.
 func (s *system) callWithKey(number int) {
 	call := history.Call{ID: fmt.Sprintf("key-%d", number), Once: true}
 	request, err := http.NewRequest(http.MethodPost, "http://"+s.Proxies[0].Address+"/pedidos/orders/x", bytes.NewReader([]byte("order")))
@@ -83,15 +83,15 @@
 	} else {
 		call.Status = response.StatusCode
 		call.Outcome = response.Header.Get("Request-Outcome")
-		call.Whole = true // only how often it ran is judged here
+		call.Whole = true // only the number of executions is checked here
 		response.Body.Close()
 	}
 	s.history.AddCall(call)
 }
 
-// TestBackEndLeavesWithoutControl: control and relays are gone; a back end says itself
-// that it leaves, and gets nothing new after a few seconds.
-func TestBackEndLeavesWithoutControl(t *testing.T) {
+// TestLeavingBackEndGetsNoNewCallsWithoutControl guards against nodes that need the
+// control plane to learn from a back end's responses that it is leaving.
+func TestLeavingBackEndGetsNoNewCallsWithoutControl(t *testing.T) {
 	s := startSystem(t, nil)
 	for _, node := range append(s.Controls, s.Relays...) {
 		node.Kill()
@@ -102,12 +102,12 @@
 	time.Sleep(leaveBound + time.Second)
 	stop()
 	is.New(t).True(load.Summarize(s.history.Records()).Answered > 100)
-	s.judge()
+	s.checkHistory()
 }
 
-// TestBackEndLeavesByTheList: the back end itself says nothing; only the platform's list
-// tells.
-func TestBackEndLeavesByTheList(t *testing.T) {
+// TestBackEndLeavingInPlatformListGetsNoNewCalls guards against nodes that ignore the
+// platform's list when the back end's responses don't report that it is leaving.
+func TestBackEndLeavingInPlatformListGetsNoNewCalls(t *testing.T) {
 	s := startSystem(t, nil)
 	stop := s.startLoad(s.Proxies, 3)
 	time.Sleep(300 * time.Millisecond)
@@ -117,12 +117,12 @@
 	s.platform.SetMachines(machines)
 	time.Sleep(leaveBound + time.Second)
 	stop()
-	s.judge()
+	s.checkHistory()
 }
 
-// TestPlannedStopCutsNothing: a node, a relay and the leader are stopped while slow calls
-// are under way and callers keep calling.
-func TestPlannedStopCutsNothing(t *testing.T) {
+// TestPlannedStopCompletesCallsInFlight guards against calls that fail when a node, a
+// relay and the leader are stopped under load.
+func TestPlannedStopCompletesCallsInFlight(t *testing.T) {
 	is := is.New(t)
 	s := startSystem(t, nil)
 	node := s.Proxies[0]
@@ -134,22 +134,22 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
 	group.Go(func() {
-		load.Run(ctx, load.Config{Services: s.profile.Services, Nodes: []string{node.Address}, Callers: 8, Pause: 5 * time.Millisecond, Timeout: callLimit, Seed: 4}, s.history)
+		load.Run(ctx, load.Config{Services: s.profile.Services, Nodes: []string{node.Address}, Callers: 8, Pause: 5 * time.Millisecond, Timeout: callTimeout, Seed: 4}, s.history)
 	})
 	time.Sleep(150 * time.Millisecond)
 	leader, err := s.Leader()
 	is.NoErr(err)
 	for _, process := range []*fleet.Node{leader, s.Relays[0], node} {
-		group.Go(func() { is.NoErr(process.Stop(callLimit)) })
+		group.Go(func() { is.NoErr(process.Stop(callTimeout)) })
 	}
 	group.Wait()
 	for _, violation := range check.PlannedStop(s.history.Records(), from, time.Now()) {
 		t.Error(violation)
 	}
 	is.True(load.Summarize(s.history.Records()).Answered > 20)
-	accepted := s.publish() // the others go on
+	accepted := s.publish() // the remaining processes keep working
 	is.NoErr(s.awaitVersion(s.Proxies[1:], accepted))
-	s.judge()
+	s.checkHistory()
 }
 
 func (s *system) slowCall(node *fleet.Node, number int) {
@@ -169,20 +169,20 @@
 	s.history.AddCall(call)
 }
 
-// TestLateAnswersMeetNobodyElse: callers give up on slow calls and call again at once;
-// no late answer may reach another call.
-func TestLateAnswersMeetNobodyElse(t *testing.T) {
+// TestLateResponsesReachNoOtherCall guards against a response that arrives after its
+// caller's timeout and is delivered to another call.
+func TestLateResponsesReachNoOtherCall(t *testing.T) {
 	s := startSystem(t, nil)
-	client := &http.Client{Timeout: 30 * time.Millisecond}
-	patient := &http.Client{Timeout: callLimit}
+	shortClient := &http.Client{Timeout: 30 * time.Millisecond}
+	longClient := &http.Client{Timeout: callTimeout}
 	var group sync.WaitGroup
 	for caller := range 8 {
 		group.Go(func() {
 			for i := range 40 {
 				call := history.Call{ID: fmt.Sprintf("caller-%d-%d", caller, i)}
-				chosen := patient
+				chosen := longClient
 				if i%2 == 0 {
-					chosen = client
+					chosen = shortClient
 				}
 				load.Send(chosen, http.MethodGet, "http://"+s.Proxies[caller%len(s.Proxies)].Address+"/catalogo/prices/x", nil, 3000, &call)
 				s.history.AddCall(call)
@@ -198,5 +198,5 @@
 		})
 	}
 	group.Wait()
-	s.judge()
+	s.checkHistory()
 }
--- a/test/integration/system_test.go
+++ b/test/integration/system_test.go
@@ -1,5 +1,5 @@
-// Package integration runs the real programs, behind fault proxies, against stand-ins,
-// breaks them, and judges the histories.
+// Package integration runs the real programs behind fault-injecting proxies, against
+// simulated back ends and a simulated platform, and checks the recorded histories.
 package integration
 
 import (
@@ -25,15 +25,15 @@
 )
 
 const (
-	setupLimit = 30 * time.Second
-	callLimit  = 10 * time.Second
-	// convergenceLimit is the bound within which an accepted version must be in force.
-	convergenceLimit = 8 * time.Second
-	// leaveBound is within what time a leaving back end must get no new work.
+	setupTimeout = 30 * time.Second
+	callTimeout  = 10 * time.Second
+	// convergenceTimeout bounds the time until an accepted version is in force everywhere.
+	convergenceTimeout = 8 * time.Second
+	// leaveBound bounds the time until a leaving back end gets no new calls.
 	leaveBound = 3 * time.Second
 )
 
-// system is a running fleet with its stand-ins.
+// system is a running fleet with its simulated platform and back ends.
 type system struct {
 	*fleet.Fleet
 	t        *testing.T
@@ -45,9 +45,9 @@
 	versions uint64
 }
 
-// startSystem runs a fleet of two zones that serves version 1 of the san-jose profile.
-// change may alter the configuration before.
-func startSystem(t *testing.T, change func(*fleet.Config)) *system {
+// startSystem starts a fleet in two zones that serves version 1 of the san-jose profile.
+// configure, if not nil, alters the fleet's configuration first.
+func startSystem(t *testing.T, configure func(*fleet.Config)) *system {
 	t.Helper()
 	is := is.New(t)
 	chosen, err := profile.Find("san-jose")
@@ -66,14 +66,14 @@
 		Replicas: 3, Relays: 2, Proxies: 4, ProxyData: true, Through: s.network.Through,
 		PlatformURL: s.platform.ListURL(), SourceURL: s.platform.SourceURL(),
 	}
-	if change != nil {
-		change(&config)
+	if configure != nil {
+		configure(&config)
 	}
 	s.Fleet, err = fleet.New(config)
 	is.NoErr(err)
 	t.Cleanup(func() {
 		s.Fleet.Kill()
-		s.keepLogs()
+		s.printLogTails()
 	})
 	is.NoErr(s.network.Delay(func(faultnet.Link) bool { return true }, chosen.ZoneLatency))
 	is.NoErr(s.Fleet.Start())
@@ -83,20 +83,20 @@
 	return s
 }
 
-// keepLogs prints the processes' last lines when a test has failed.
-func (s *system) keepLogs() {
+// printLogTails logs the end of each process's log if the test has failed.
+func (s *system) printLogTails() {
 	if !s.t.Failed() {
 		return
 	}
 	const lastBytes = 1500
 	for _, node := range s.All() {
 		text, _ := os.ReadFile(node.Log)
-		s.t.Logf("log of %s ends:\n%s", node.Name, text[max(0, len(text)-lastBytes):])
+		s.t.Logf("end of the log of %s:\n%s", node.Name, text[max(0, len(text)-lastBytes):])
 	}
 }
 
 func (s *system) context() context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), setupLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), setupTimeout)
 	s.t.Cleanup(cancel)
 	return ctx
 }
@@ -112,7 +112,7 @@
 
 // status reads the control plane's status from its leader.
 func (s *system) status() (operator.Status, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), convergenceLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), convergenceTimeout)
 	defer cancel()
 	var status operator.Status
 	err := s.Client().Do(ctx, http.MethodGet, operator.PathStatus, nil, &status)
@@ -126,9 +126,9 @@
 	is.New(s.t).NoErr(os.RemoveAll(s.DataFolder(node.Name)))
 }
 
-// awaitRepair waits until all replicas are voters that hold everything.
-func (s *system) awaitRepair() error {
-	return eventually(setupLimit, func() error {
+// awaitFullReplication waits until all replicas are voters that hold all entries.
+func (s *system) awaitFullReplication() error {
+	return eventually(setupTimeout, func() error {
 		status, err := s.status()
 		if err != nil {
 			return err
@@ -140,17 +140,18 @@
 	})
 }
 
-// call sends one call through a proxy and records it.
+// call sends one call through a node and records it.
 func (s *system) call(node *fleet.Node, method, path, id string, once bool) history.Call {
 	call := history.Call{ID: id, Once: once, Node: node.Name}
-	client := &http.Client{Timeout: callLimit}
+	client := &http.Client{Timeout: callTimeout}
 	defer client.CloseIdleConnections()
 	load.Send(client, method, "http://"+node.Address+path, nil, 100, &call)
 	s.history.AddCall(call)
 	return call
 }
 
-// startLoad lets callers call the given nodes until stop, which waits for their end.
+// startLoad generates calls to the given nodes until stop is called; stop waits until
+// the last calls have ended.
 func (s *system) startLoad(nodes []*fleet.Node, seed uint64) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -161,7 +162,7 @@
 	go func() {
 		defer close(done)
 		load.Run(ctx, load.Config{
-			Services: s.profile.Services, Nodes: addresses, Callers: 12, Pause: 10 * time.Millisecond, Timeout: callLimit, Seed: seed,
+			Services: s.profile.Services, Nodes: addresses, Callers: 12, Pause: 10 * time.Millisecond, Timeout: callTimeout, Seed: seed,
 		}, s.history)
 	}()
 	stop = func() {
@@ -172,16 +173,16 @@
 	return stop
 }
 
-// judge runs every checker over the history.
-func (s *system) judge() {
+// checkHistory runs every checker on the recorded history.
+func (s *system) checkHistory() {
 	s.t.Helper()
 	for _, violation := range check.All(s.history.Records(), leaveBound) {
 		s.t.Error(violation)
 	}
 }
 
-// sight records the versions that the nodes have in force.
-func (s *system) sight() {
+// recordVersions records the versions that the nodes have in force.
+func (s *system) recordVersions() {
 	for _, node := range s.Proxies {
 		var status proxy.Status
 		if node.Status(&status) == nil && status.Serving {
@@ -190,8 +191,8 @@
 	}
 }
 
-// watch sights the nodes' versions until the test ends.
-func (s *system) watch() {
+// startRecordingVersions records the nodes' versions every 20 ms until the test ends.
+func (s *system) startRecordingVersions() {
 	stop := make(chan struct{})
 	done := make(chan struct{})
 	go func() {
@@ -201,7 +202,7 @@
 			case <-stop:
 				return
 			case <-time.After(20 * time.Millisecond):
-				s.sight()
+				s.recordVersions()
 			}
 		}
 	}()
--- a/test/integration/wait_test.go
+++ b/test/integration/wait_test.go
@@ -8,9 +8,10 @@
 	"bramblelift/pkg/proxy"
 )
 
-// eventually polls until check returns nil or the limit passes.
-func eventually(limit time.Duration, check func() error) error {
-	deadline := time.Now().Add(limit)
+// eventually polls until check returns nil or the timeout passes, and returns the last
+// error.
+func eventually(timeout time.Duration, check func() error) error {
+	deadline := time.Now().Add(timeout)
 	for {
 		err := check()
 		if err == nil || time.Now().After(deadline) {
@@ -22,7 +23,7 @@
 
 // awaitVersion waits until the given nodes have a version, or a later one, in force.
 func (s *system) awaitVersion(nodes []*fleet.Node, version uint64) error {
-	return eventually(convergenceLimit, func() error {
+	return eventually(convergenceTimeout, func() error {
 		for _, node := range nodes {
 			var status proxy.Status
 			if err := node.Status(&status); err != nil {
@@ -36,10 +37,10 @@
 	})
 }
 
-// awaitEndpoints waits until the given nodes know a back end of each service: a version
-// may be rolled before control has read the platform's list for the first time.
+// awaitEndpoints waits until the given nodes know a back end of each service, because a
+// version may be rolled before control has read the platform's list.
 func (s *system) awaitEndpoints(nodes []*fleet.Node) error {
-	return eventually(convergenceLimit, func() error {
+	return eventually(convergenceTimeout, func() error {
 		for _, node := range nodes {
 			var status proxy.Status
 			if err := node.Status(&status); err != nil {
