--- a/pkg/sim/backend.go
+++ b/pkg/sim/backend.go
@@ -64,13 +64,13 @@
 		n.afterLocal(dialTimeout, func() { c.attemptFailed(ticket, balancer.Failed, forward.NotRun) })
 		return
 	}
-	if !b.alive {
+	if !b.running {
 		n.afterLocal(resetDelay, func() { c.attemptFailed(ticket, balancer.Failed, forward.NotRun) })
 		return
 	}
 	incarnation := b.incarnation
 	s.cluster.simulation.after(s.cluster.network.delay(&n.process, &b.process), func() {
-		if !b.alive || b.incarnation != incarnation {
+		if !b.running || b.incarnation != incarnation {
 			s.respond(c, b, func() { c.attemptFailed(ticket, balancer.Failed, forward.Unknown) })
 			return
 		}
@@ -174,7 +174,7 @@
 func (p *simPlatform) recordList() {
 	var list machinelist.List
 	for i, b := range p.cluster.backends.all {
-		if !b.alive {
+		if !b.running {
 			continue
 		}
 		list.Machines = append(list.Machines, machinelist.Machine{
--- a/pkg/sim/cluster.go
+++ b/pkg/sim/cluster.go
@@ -144,7 +144,7 @@
 	}
 }
 
-func (c *cluster) controlNamed(name string) *control {
+func (c *cluster) controlByName(name string) *control {
 	for _, ctl := range slices.Concat(c.controls, c.retired) {
 		if ctl.name == name {
 			return ctl
@@ -170,7 +170,7 @@
 }
 
 func (c *cluster) lookupControl(name string) (*process, func() *server) {
-	ctl := c.controlNamed(name)
+	ctl := c.controlByName(name)
 	return &ctl.process, func() *server { return ctl.server }
 }
 
@@ -199,7 +199,7 @@
 // disks of all machines.
 func (c *cluster) fullyReplicated() bool {
 	for _, ctl := range c.controls {
-		if !ctl.alive || ctl.replica == nil || !ctl.replica.Node().LeaseValid(ctl.clock()) {
+		if !ctl.running || ctl.replica == nil || !ctl.replica.Node().LeaseValid(ctl.clock()) {
 			continue
 		}
 		n := ctl.replica.Node()
--- a/pkg/sim/control.go
+++ b/pkg/sim/control.go
@@ -40,6 +40,8 @@
 	server  *server
 	tracker *machinelist.Tracker
 
+	// confirmedAt is the latest local time at which the replica was known to have every
+	// committed entry; it is meaningful if confirmed is set.
 	confirmedAt time.Duration
 	confirmed   bool
 	// decommissioned is set once another machine has replaced this one.
@@ -57,7 +59,7 @@
 // start opens the replica from its disk. With an empty disk it asks to join the cluster
 // under a new replica ID.
 func (c *control) start() {
-	if c.alive || c.decommissioned {
+	if c.running || c.decommissioned {
 		return
 	}
 	c.startRun()
@@ -109,7 +111,7 @@
 
 // kill stops the process and crashes its disk.
 func (c *control) kill() {
-	if !c.alive {
+	if !c.running {
 		return
 	}
 	c.simulation.log("%s is killed", c.name)
@@ -129,7 +131,7 @@
 
 func (c *control) periodicAdvance() {
 	c.advance()
-	if !c.alive {
+	if !c.running {
 		return
 	}
 	wait := c.replica.Node().NextDeadline() - c.clock()
@@ -172,7 +174,7 @@
 	if !known {
 		return
 	}
-	peer := c.cluster.controlNamed(address)
+	peer := c.cluster.controlByName(address)
 	from := c.name
 	c.cluster.network.sendDatagram(&c.process, &peer.process, func() {
 		peer.replica.Learn(m.From, from)
--- a/pkg/sim/faults.go
+++ b/pkg/sim/faults.go
@@ -22,7 +22,7 @@
 	}},
 	{"kill-leader", func(c *cluster) func() {
 		for _, ctl := range c.controls {
-			if ctl.alive && c.leaseHolders[ctl] {
+			if ctl.running && c.leaseHolders[ctl] {
 				ctl.kill()
 				return ctl.start
 			}
@@ -117,7 +117,7 @@
 	{"backend-leaves", injectBackendLeaving},
 	{"kill-backend", func(c *cluster) func() {
 		b := pickRandom(c, c.backends.all)
-		if !b.alive {
+		if !b.running {
 			return func() {}
 		}
 		c.backends.crash(b)
@@ -126,17 +126,17 @@
 	}},
 	{"planned-stop", func(c *cluster) func() {
 		n := pickRandom(c, c.nodes)
-		if n.alive && !n.stopping {
+		if n.running && !n.stopping {
 			n.stop(func() {})
 		}
 		return func() {
-			if n.alive {
+			if n.running {
 				n.endRun()
 			}
 			n.start()
 		}
 	}},
-	{"starve-relay", injectRelayStarvation},
+	{"starve-relay", injectStaleRelay},
 	{"garbled-updates", func(c *cluster) func() {
 		c.network.corrupting = true
 		return func() { c.network.corrupting = false }
@@ -227,7 +227,7 @@
 
 func injectBackendLeaving(c *cluster) func() {
 	b := pickRandom(c, c.backends.all)
-	if !b.alive || b.leaving {
+	if !b.running || b.leaving {
 		return func() {}
 	}
 	c.simulation.log("%s leaves", b.name)
@@ -264,17 +264,17 @@
 	}
 }
 
-// starveDelay is longer than a node stays subscribed to a stale relay.
-const starveDelay = 4 * time.Second
+// staleRelayRestartDelay is longer than a node stays subscribed to a stale relay.
+const staleRelayRestartDelay = 4 * time.Second
 
-// injectRelayStarvation cuts a relay off from control. After its nodes have moved to
-// other relays with newer versions, it restarts them, so that they may connect to the
-// stale relay first.
-func injectRelayStarvation(c *cluster) func() {
+// injectStaleRelay cuts a relay off from control. After its nodes have moved to other
+// relays with newer versions, it restarts them, so that they may connect to the stale
+// relay first.
+func injectStaleRelay(c *cluster) func() {
 	r := pickRandom(c, c.relays)
-	c.network.starved[r.name] = true
-	c.simulation.after(starveDelay, func() {
-		if !c.network.starved[r.name] {
+	c.network.cutFromControl[r.name] = true
+	c.simulation.after(staleRelayRestartDelay, func() {
+		if !c.network.cutFromControl[r.name] {
 			return
 		}
 		for _, n := range c.nodes {
@@ -284,7 +284,7 @@
 			}
 		}
 	})
-	return func() { delete(c.network.starved, r.name) }
+	return func() { delete(c.network.cutFromControl, r.name) }
 }
 
 func isolate(c *cluster, p *process) func() {
@@ -367,7 +367,7 @@
 	f.active = nil
 	c := f.cluster
 	c.healed = true
-	clear(c.network.starved)
+	clear(c.network.cutFromControl)
 	clear(c.network.partitioned)
 	clear(c.network.isolated)
 	c.network.unreliable = false
--- a/pkg/sim/faults_expanded.go
+++ b/pkg/sim/faults_expanded.go
@@ -22,7 +22,7 @@
 // that they subscribe to do in the daemons.
 func (c *cluster) updateRelayServers() {
 	for _, r := range c.relays {
-		if r.alive {
+		if r.running {
 			r.client.selector.Offer(candidatesOf(r.zone, c.controlProcesses()))
 		}
 	}
--- a/pkg/sim/linearizable.go
+++ b/pkg/sim/linearizable.go
@@ -17,7 +17,8 @@
 	kind int
 	// expected is the head that a create expects, or the version that a roll names.
 	expected uint64
-	valid    bool
+	// valid is whether the bundle of a create is valid.
+	valid bool
 }
 
 type operationOutput struct {
--- a/pkg/sim/network.go
+++ b/pkg/sim/network.go
@@ -9,7 +9,7 @@
 const (
 	sameZoneLatency        = 100 * time.Microsecond
 	latencyJitter          = 2 * time.Millisecond
-	retransmitPause        = 200 * time.Millisecond
+	retransmitInterval     = 200 * time.Millisecond
 	retransmitLimit        = 20 * time.Second
 	dialTimeout            = time.Second
 	maxExtraDelay          = 400 * time.Millisecond
@@ -23,8 +23,8 @@
 	zoneLatency time.Duration
 	// partitioned holds the pairs of zones, from and to, between which messages are dropped.
 	partitioned map[[2]string]bool
-	// starved holds relays that cannot exchange messages with control replicas.
-	starved map[string]bool
+	// cutFromControl holds relays that cannot exchange messages with control replicas.
+	cutFromControl map[string]bool
 	// isolated holds processes that cannot exchange messages with any other.
 	isolated map[string]bool
 	// corrupting makes servers alter some of their updates.
@@ -34,7 +34,7 @@
 }
 
 func newNetwork(sim *simulation, zoneLatency time.Duration) *network {
-	return &network{simulation: sim, zoneLatency: zoneLatency, partitioned: map[[2]string]bool{}, isolated: map[string]bool{}, starved: map[string]bool{}}
+	return &network{simulation: sim, zoneLatency: zoneLatency, partitioned: map[[2]string]bool{}, isolated: map[string]bool{}, cutFromControl: map[string]bool{}}
 }
 
 func (n *network) canReach(from, to *process) bool {
@@ -44,7 +44,7 @@
 	if n.isolated[from.name] || n.isolated[to.name] {
 		return false
 	}
-	if (n.starved[from.name] && isControl(to)) || (n.starved[to.name] && isControl(from)) {
+	if (n.cutFromControl[from.name] && isControl(to)) || (n.cutFromControl[to.name] && isControl(from)) {
 		return false
 	}
 	return !n.partitioned[[2]string{from.zone, to.zone}]
@@ -66,7 +66,7 @@
 
 // sendDatagram sends a message that may be lost, duplicated or reordered.
 func (n *network) sendDatagram(from, to *process, deliver func()) {
-	if !n.canReach(from, to) || !to.alive {
+	if !n.canReach(from, to) || !to.running {
 		return
 	}
 	if n.unreliable && n.simulation.chance(lossProbability) {
@@ -111,7 +111,7 @@
 		return
 	}
 	n.simulation.after(roundTrip, client.ifRunning(func() {
-		if !server.alive {
+		if !server.running {
 			failed()
 			return
 		}
@@ -133,7 +133,7 @@
 	c.queued[direction] = append(c.queued[direction], deliver)
 	if len(c.queued[direction]) == 1 {
 		c.queuedSince[direction] = c.network.simulation.now
-		c.network.simulation.after(retransmitPause, func() { c.retransmit(direction) })
+		c.network.simulation.after(retransmitInterval, func() { c.retransmit(direction) })
 	}
 }
 
@@ -161,7 +161,7 @@
 		return
 	}
 	if !c.network.canReach(from, to) {
-		sim.after(retransmitPause, func() { c.retransmit(direction) })
+		sim.after(retransmitInterval, func() { c.retransmit(direction) })
 		return
 	}
 	queued := c.queued[direction]
@@ -175,7 +175,7 @@
 	if c.closed {
 		return
 	}
-	if !to.alive || to.generation != generation {
+	if !to.running || to.generation != generation {
 		c.reset(direction)
 		return
 	}
@@ -200,7 +200,7 @@
 	if side == c.server {
 		notify, generation = c.onServerClose, c.serverGeneration
 	}
-	if notify != nil && side.alive && side.generation == generation {
+	if notify != nil && side.running && side.generation == generation {
 		c.network.simulation.after(delay, side.ifRunning(notify))
 	}
 }
--- a/pkg/sim/node.go
+++ b/pkg/sim/node.go
@@ -18,7 +18,8 @@
 const (
 	callInterval = 120 * time.Millisecond
 	callDeadline = 1500 * time.Millisecond
-	writeShare   = 0.4
+	// onceShare is the share of calls that must run at most once.
+	onceShare = 0.4
 )
 
 // node is a simulated node.
@@ -42,7 +43,7 @@
 }
 
 func (n *node) start() {
-	if n.alive {
+	if n.running {
 		return
 	}
 	n.startRun()
@@ -82,7 +83,7 @@
 }
 
 func (n *node) kill() {
-	if !n.alive {
+	if !n.running {
 		return
 	}
 	n.simulation.log("%s is killed", n.name)
@@ -131,7 +132,7 @@
 	n.callCount++
 	c := &simCall{
 		node: n, id: fmt.Sprintf("%s-%d-%d", n.name, n.generation, n.callCount),
-		once: n.simulation.chance(writeShare), deadline: n.clock() + callDeadline,
+		once: n.simulation.chance(onceShare), deadline: n.clock() + callDeadline,
 		nodeGeneration: n.generation,
 	}
 	n.openCalls++
@@ -186,12 +187,12 @@
 		c.finish(string(forward.NotRun), false)
 		return
 	}
-	c.budgetAttempt()
+	c.recordFirstAttempt()
 	n.afterLocal(c.deadline-n.clock(), func() { c.timeOut() })
 	c.startAttempt()
 }
 
-func (c *simCall) budgetAttempt() { c.node.budget.Attempt(c.node.clock()) }
+func (c *simCall) recordFirstAttempt() { c.node.budget.Attempt(c.node.clock()) }
 
 // timeOut ends the call at its deadline; an attempt in flight may have run.
 func (c *simCall) timeOut() {
--- a/pkg/sim/observe.go
+++ b/pkg/sim/observe.go
@@ -44,8 +44,8 @@
 	return fmt.Sprintf("%s, at %s: %s", v.Invariant, v.At, v.Detail)
 }
 
-// knownContent is the content of a version as its operator created it.
-type knownContent struct {
+// createdContent is the content of a version as its operator created it.
+type createdContent struct {
 	content bundle.Content
 	valid   bool
 }
@@ -53,7 +53,7 @@
 // observations is the state of the checkers. It comes from operators, callers and back
 // ends, so that the checks do not rely on the code under test.
 type observations struct {
-	contents map[uint64]knownContent
+	contents map[uint64]createdContent
 	// highestAccepted is the highest version whose roll was confirmed to an operator.
 	highestAccepted uint64
 	acceptedAt      time.Duration
@@ -76,7 +76,7 @@
 
 func newObservations() *observations {
 	return &observations{
-		contents: map[uint64]knownContent{}, versionInForce: map[string]uint64{},
+		contents: map[uint64]createdContent{}, versionInForce: map[string]uint64{},
 		endpoints: map[uint64]distribution.EndpointTable{}, incarnationProgress: map[string]endpointProgress{},
 		history: map[uint64]string{}, executions: map[string]int{}, leaseHolders: map[*control]bool{},
 	}
@@ -86,7 +86,7 @@
 	if !valid {
 		sim.violate(invariantDangling, "version %d was created with a dangling route", manifest.Version)
 	}
-	o.contents[manifest.Version] = knownContent{content: content, valid: valid}
+	o.contents[manifest.Version] = createdContent{content: content, valid: valid}
 }
 
 func (o *observations) recordAccepted(now time.Duration, version uint64) {
@@ -134,7 +134,7 @@
 // checkLease checks that no other replica has a valid lease at the same time.
 func (c *cluster) checkLease(holder *control) {
 	for _, other := range c.controls {
-		if other == holder || !other.alive || other.frozen || other.replica == nil {
+		if other == holder || !other.running || other.frozen || other.replica == nil {
 			continue
 		}
 		if other.replica.Node().LeaseValid(other.clock()) {
--- a/pkg/sim/operator.go
+++ b/pkg/sim/operator.go
@@ -238,7 +238,7 @@
 		})
 	}
 	o.afterLocal(responseTimeout, retry)
-	if network.canReach(&o.process, &ctl.process) && ctl.alive {
+	if network.canReach(&o.process, &ctl.process) && ctl.running {
 		o.simulation.after(network.delay(&o.process, &ctl.process), ctl.ifRunning(func() { request(ctl, respond) }))
 	}
 }
--- a/pkg/sim/relay.go
+++ b/pkg/sim/relay.go
@@ -27,7 +27,7 @@
 }
 
 func (r *relay) start() {
-	if r.alive {
+	if r.running {
 		return
 	}
 	r.startRun()
@@ -45,7 +45,7 @@
 }
 
 func (r *relay) kill() {
-	if r.alive {
+	if r.running {
 		r.simulation.log("%s is killed", r.name)
 		r.endRun()
 	}
--- a/pkg/sim/sim_test.go
+++ b/pkg/sim/sim_test.go
@@ -33,8 +33,8 @@
 // seedsPerClusterSize is the number of seeds tested for each size of expanded cluster.
 const seedsPerClusterSize = 25
 
-// Guards against broken invariants in clusters of four and five voters, with replaced
-// machines and full disks.
+// TestInvariantsHoldInExpandedClusters guards against broken invariants in clusters of
+// four and five voters, with replaced machines and full disks.
 func TestInvariantsHoldInExpandedClusters(t *testing.T) {
 	for _, controls := range []int{4, 5} {
 		t.Run(fmt.Sprint(controls), func(t *testing.T) {
--- a/pkg/sim/simulation.go
+++ b/pkg/sim/simulation.go
@@ -121,7 +121,7 @@
 	name       string
 	zone       string
 
-	alive bool
+	running bool
 	// generation counts the process runs; callbacks scheduled by an earlier run are
 	// dropped.
 	generation int
@@ -143,7 +143,7 @@
 }
 
 func (p *process) startRun() {
-	p.alive = true
+	p.running = true
 	p.frozen = false
 	p.generation++
 	p.startedAt = p.simulation.now
@@ -151,7 +151,7 @@
 }
 
 func (p *process) endRun() {
-	p.alive = false
+	p.running = false
 	p.deferred = nil
 }
 
@@ -166,7 +166,7 @@
 func (p *process) ifRunning(run func()) func() {
 	generation := p.generation
 	return func() {
-		if !p.alive || p.generation != generation {
+		if !p.running || p.generation != generation {
 			return
 		}
 		if p.frozen {
@@ -187,7 +187,7 @@
 	deferred := p.deferred
 	p.deferred = nil
 	for _, run := range deferred {
-		if p.alive && !p.frozen {
+		if p.running && !p.frozen {
 			run()
 		}
 	}
--- a/pkg/sim/subscribe.go
+++ b/pkg/sim/subscribe.go
@@ -89,9 +89,11 @@
 	session      *serverSession
 	subscription *stream.Subscription
 	lastHeard    time.Duration
-	confirmedAt  time.Duration
-	confirmed    bool
-	resync       bool
+	// confirmedAt is the latest local time at which the target's state was known to be
+	// current; it is meaningful if confirmed is set.
+	confirmedAt time.Duration
+	confirmed   bool
+	resync      bool
 }
 
 const firstPingInterval = 150 * time.Millisecond
@@ -148,7 +150,7 @@
 	ping := s.subscription.Ping(s.process.clock(), s.target.Position())
 	conn.send(toServer, func() {
 		peer, sess := conn.server, s.session
-		if sess != nil && peer.alive {
+		if sess != nil && peer.running {
 			s.serverOf(sess).handlePing(sess, ping)
 		}
 	})
