--- a/cmd/bramblebench/main.go
+++ b/cmd/bramblebench/main.go
@@ -1,5 +1,5 @@
-// Command bramblebench holds the stand-ins, the fleet runner, the load and experiment
-// tools and the simulator. It is never part of a production system.
+// Command bramblebench runs simulated back ends, a demo fleet, experiments under load and
+// the simulator. It is a development tool and not part of a production system.
 package main
 
 import (
--- a/cmd/bramblectl/main.go
+++ b/cmd/bramblectl/main.go
@@ -1,4 +1,4 @@
-// Command bramblectl is the operators' client.
+// Command bramblectl is the command-line client for operators of the control plane.
 package main
 
 import (
