--- a/pkg/bench/baseline/baseline.go
+++ b/pkg/bench/baseline/baseline.go
@@ -1,7 +1,7 @@
-// Package baseline carries two plain ways to distribute configuration, to compare the
-// product with: one server that pushes the whole snapshot to every node upon each
-// change, and one that nodes poll at a fixed period. Both use the product's framing,
-// so that bytes compare.
+// Package baseline implements two simple configuration distributors that the product is
+// compared with: a server that pushes a full snapshot to every node on each change, and
+// one that nodes poll at a fixed period. Both use the product's framing, so that byte
+// counts are comparable.
 package baseline
 
 import (
@@ -19,20 +19,20 @@
 	"bramblelift/pkg/wire"
 )
 
-// Mode is how nodes get snapshots.
+// Mode selects how nodes receive snapshots.
 type Mode string
 
 const (
-	// Push sends the snapshot to every node upon each change.
+	// Push sends the snapshot to every node on each change.
 	Push Mode = "snapshot-push"
-	// Poll answers nodes that ask at a fixed period.
+	// Poll responds to nodes that request the snapshot at a fixed period.
 	Poll Mode = "polling"
 )
 
-// Kinds of frames.
+// Frame kinds of the baseline protocol.
 const (
 	kindSnapshot wire.Kind = iota + 1
-	kindAsk
+	kindPoll
 	kindUnchanged
 )
 
@@ -41,7 +41,7 @@
 	readTimeout  = time.Minute
 )
 
-// snapshot is everything at once.
+// snapshot is the full configuration with all endpoints.
 type snapshot struct {
 	Revision  uint64
 	Version   uint64
@@ -49,11 +49,13 @@
 	Endpoints distribution.EndpointTable
 }
 
+// ask is a poll request; Held is the revision that the node already has.
 type ask struct{ Held uint64 }
 
+// unchanged responds to a poll whose revision is current.
 type unchanged struct{ Revision uint64 }
 
-// Server holds the snapshot and serves it.
+// Server distributes the current snapshot to nodes by push or poll.
 type Server struct {
 	mode     Mode
 	listener net.Listener
@@ -61,28 +63,28 @@
 
 	mu      sync.Mutex
 	current *snapshot
-	// conns holds what wakes the writer of each connection.
+	// conns maps each connection to the channel that signals a new snapshot to its writer.
 	conns map[*wire.Conn]chan struct{}
 }
 
-// Start runs a server on a free port. It reads the platform's list at the interval, as
-// the product does.
+// Start runs a server on a free port of 127.0.0.1 until ctx ends. Like the product, it
+// reads the platform's machine list at the given interval.
 func Start(ctx context.Context, mode Mode, platformURL string, interval time.Duration) (*Server, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("start baseline: %w", err)
+		return nil, fmt.Errorf("start baseline server: %w", err)
 	}
 	s := &Server{mode: mode, listener: listener, current: &snapshot{}, conns: map[*wire.Conn]chan struct{}{}}
 	context.AfterFunc(ctx, func() { s.close() })
 	s.group.Go(s.accept)
-	s.group.Go(func() { s.readPlatform(ctx, platformURL, interval) })
+	s.group.Go(func() { s.pollPlatform(ctx, platformURL, interval) })
 	return s, nil
 }
 
-// Address returns where nodes connect.
+// Address returns the host:port that nodes connect to.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Wait waits until a server whose context has ended is gone.
+// Wait blocks until all goroutines of the server have exited; cancel its context first.
 func (s *Server) Wait() { s.group.Wait() }
 
 func (s *Server) close() {
@@ -94,7 +96,7 @@
 	}
 }
 
-// SetContent puts a bundle in force.
+// SetContent replaces the bundle in the snapshot.
 func (s *Server) SetContent(version uint64, content bundle.Content) {
 	s.change(func(next *snapshot) { next.Version, next.Content = version, content })
 }
@@ -120,7 +122,7 @@
 	return s.current
 }
 
-func (s *Server) readPlatform(ctx context.Context, url string, interval time.Duration) {
+func (s *Server) pollPlatform(ctx context.Context, url string, interval time.Duration) {
 	tracker := &machinelist.Tracker{}
 	reader := machinelist.NewReader(http.DefaultClient, url)
 	state := &distribution.State{}
@@ -164,7 +166,7 @@
 		s.mu.Unlock()
 	}()
 	if s.mode == Poll {
-		s.answerPolls(conn)
+		s.servePolls(conn)
 		return
 	}
 	closed := make(chan struct{})
@@ -184,18 +186,18 @@
 	}
 }
 
-func (s *Server) answerPolls(conn *wire.Conn) {
+func (s *Server) servePolls(conn *wire.Conn) {
 	for {
 		if _, err := conn.Receive(readTimeout); err != nil {
 			return
 		}
-		var asked ask
-		if conn.Decode(&asked) != nil {
+		var request ask
+		if conn.Decode(&request) != nil {
 			return
 		}
 		current := s.snapshot()
 		var err error
-		if asked.Held == current.Revision {
+		if request.Held == current.Revision {
 			err = conn.Send(kindUnchanged, unchanged{Revision: current.Revision})
 		} else {
 			err = conn.Send(kindSnapshot, current)
@@ -206,25 +208,26 @@
 	}
 }
 
-// Client is one node of the baseline.
+// Client is one node that receives snapshots from a baseline server.
 type Client struct {
 	Name    string
 	Address string
 	Mode    Mode
-	// Period is the pause between polls; the first one comes at a part of it that
-	// spreads the nodes.
+	// Period is the time between polls.
 	Period time.Duration
-	Phase  time.Duration
-	Tally  *tally.Tally
-	// InForce is told each snapshot as a state.
+	// Phase is the delay before the first poll; it spreads the polls of many nodes.
+	Phase time.Duration
+	Tally *tally.Tally
+	// InForce is called with each received snapshot, converted to a state.
 	InForce func(node string, state *distribution.State)
 }
 
-// Run serves until the context ends.
+// Run receives snapshots until the context ends, which is not an error, or until the
+// connection fails.
 func (c *Client) Run(ctx context.Context) error {
 	raw, err := net.Dial("tcp", c.Address)
 	if err != nil {
-		return fmt.Errorf("baseline node %s: %w", c.Name, err)
+		return fmt.Errorf("baseline node %s: connect to server: %w", c.Name, err)
 	}
 	conn := wire.NewConn(raw, wire.DefaultMaxFrame, writeTimeout, c.Tally.Observe)
 	defer conn.Close()
@@ -235,12 +238,13 @@
 	}
 	for {
 		if _, err := c.receive(conn); err != nil {
-			return ended(ctx, err)
+			return ignoreAfterCancel(ctx, err)
 		}
 	}
 }
 
-func ended(ctx context.Context, err error) error {
+// ignoreAfterCancel drops an error that results from the end of the context.
+func ignoreAfterCancel(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return nil
 	}
@@ -257,12 +261,12 @@
 		case <-time.After(pause):
 		}
 		pause = c.Period
-		if err := conn.Send(kindAsk, ask{Held: held}); err != nil {
-			return ended(ctx, err)
+		if err := conn.Send(kindPoll, ask{Held: held}); err != nil {
+			return ignoreAfterCancel(ctx, err)
 		}
 		revision, err := c.receive(conn)
 		if err != nil {
-			return ended(ctx, err)
+			return ignoreAfterCancel(ctx, err)
 		}
 		held = revision
 	}
--- a/pkg/bench/baseline/reverse.go
+++ b/pkg/bench/baseline/reverse.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// ReverseOptions are the flags of the bare reverse proxy.
-type ReverseOptions struct {
+// ReverseProxyOptions are the command-line flags of the bare reverse proxy.
+type ReverseProxyOptions struct {
 	Listen string `long:"listen" required:"yes" description:"address to listen on"`
 	Target string `long:"target" required:"yes" description:"address of the one back end"`
 }
 
-const reverseConnections = 256
+const maxReverseProxyConns = 256
 
-// ServeReverse runs the standard library's reverse proxy in front of one back end until
-// it fails: what a node's added time is compared with.
-func ServeReverse(options ReverseOptions) error {
+// ServeReverseProxy runs the standard library's reverse proxy in front of one back end
+// until it fails. Its latency is the reference for the latency that a node adds.
+func ServeReverseProxy(options ReverseProxyOptions) error {
 	proxy := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: options.Target})
 	proxy.Transport = &http.Transport{
-		MaxIdleConnsPerHost: reverseConnections, MaxConnsPerHost: reverseConnections, DisableCompression: true,
+		MaxIdleConnsPerHost: maxReverseProxyConns, MaxConnsPerHost: maxReverseProxyConns, DisableCompression: true,
 	}
 	server := &http.Server{Addr: options.Listen, Handler: proxy, ReadHeaderTimeout: 10 * time.Second}
-	return fmt.Errorf("bare proxy: %w", server.ListenAndServe())
+	return fmt.Errorf("serve bare reverse proxy: %w", server.ListenAndServe())
 }
--- a/pkg/bench/cli/cli.go
+++ b/pkg/bench/cli/cli.go
@@ -24,12 +24,12 @@
 )
 
 type options struct {
-	Demo     demo.Options               `command:"demo" description:"run the whole system for a short while and judge it"`
-	Sim      simOptions                 `command:"sim" description:"run the decision cores in virtual time under faults, seed by seed"`
-	Converge experiment.ConvergeOptions `command:"converge" description:"measure convergence time and control bytes beside two baselines"`
-	Calls    experiment.CallsOptions    `command:"calls" description:"measure the data plane: time added, chains, retries, overload"`
-	Backend  backendOptions             `command:"backend" description:"run one stand-in for a back end, for trying things out by hand"`
-	Bare     baseline.ReverseOptions    `command:"bare-proxy" description:"run the bare reverse proxy that calls compares with" hidden:"yes"`
+	Demo     demo.Options                 `command:"demo" description:"run the whole system for a short while and judge it"`
+	Sim      simOptions                   `command:"sim" description:"run the decision cores in virtual time under faults, seed by seed"`
+	Converge experiment.ConvergeOptions   `command:"converge" description:"measure convergence time and control bytes beside two baselines"`
+	Calls    experiment.CallsOptions      `command:"calls" description:"measure the data plane: time added, chains, retries, overload"`
+	Backend  backendOptions               `command:"backend" description:"run one stand-in for a back end, for trying things out by hand"`
+	Bare     baseline.ReverseProxyOptions `command:"bare-proxy" description:"run the bare reverse proxy that calls compares with" hidden:"yes"`
 }
 
 // Main runs the bench and returns its exit code.
@@ -57,7 +57,7 @@
 	case "backend":
 		err = parsed.Backend.run(stdout)
 	case "bare-proxy":
-		err = baseline.ServeReverse(parsed.Bare)
+		err = baseline.ServeReverseProxy(parsed.Bare)
 	case "converge":
 		err = experiment.Converge(parsed.Converge, stdout)
 	}
