--- a/pkg/bench/chain/chain.go
+++ b/pkg/bench/chain/chain.go
@@ -1,5 +1,5 @@
-// Package chain is a stand-in for services that call each other: a call of depth n does
-// its work and then calls, through a node or directly, with depth n-1.
+// Package chain simulates services that call each other: a call of depth n waits for the
+// work time and then makes a call of depth n-1, through a node or directly.
 package chain
 
 import (
@@ -14,64 +14,65 @@
 	"time"
 )
 
-// Headers that a service passes on with the calls it makes, as services do with those
-// of tracing.
-var passedOn = []string{"Request-Timeout-Ms", "Request-Retry"}
+// propagatedHeaders are copied from an incoming call to the calls it causes, as tracing
+// headers are.
+var propagatedHeaders = []string{"Request-Timeout-Ms", "Request-Retry"}
 
-const maxConnections = 1024
+const maxIdleConns = 1024
 
-// Config describes a service.
+// Config sets how a service handles calls.
 type Config struct {
-	// Next are the addresses to which calls of lower depth go, in turn.
+	// Next lists the addresses that receive the calls of lower depth, in rotation.
 	Next []string
-	// Prefix is the path before the depth.
+	// Prefix is the URL path that precedes the depth.
 	Prefix string
-	Work   time.Duration
-	// LeafDeclines makes a call of depth zero decline.
+	// Work is the processing time of each call.
+	Work time.Duration
+	// LeafDeclines makes the service decline each call of depth zero as not run.
 	LeafDeclines bool
 }
 
-// Service is one running service.
+// Service is an HTTP server that takes part in call chains.
 type Service struct {
-	config   Config
-	listener net.Listener
-	server   *http.Server
-	client   *http.Client
-	calls    atomic.Int64
-	leaves   atomic.Int64
+	config    Config
+	listener  net.Listener
+	server    *http.Server
+	client    *http.Client
+	calls     atomic.Int64
+	leafCalls atomic.Int64
 }
 
-// Start runs a service on a free port of 127.0.0.1. Its configuration is set later, when
-// the nodes that it calls are known.
+// Start runs a service on a free port of 127.0.0.1. Configure sets its configuration once
+// the addresses that it calls are known.
 func Start() (*Service, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("start service: %w", err)
+		return nil, fmt.Errorf("start chain service: %w", err)
 	}
 	s := &Service{listener: listener, client: &http.Client{Transport: &http.Transport{
-		MaxIdleConnsPerHost: maxConnections, DisableCompression: true,
+		MaxIdleConnsPerHost: maxIdleConns, DisableCompression: true,
 	}}}
 	s.server = &http.Server{Handler: s}
 	go func() { _ = s.server.Serve(listener) }()
 	return s, nil
 }
 
-// Configure sets what the service does. It must not be called while calls are made.
+// Configure replaces the configuration. It must not be called while calls are in flight.
 func (s *Service) Configure(config Config) { s.config = config }
 
-// Address returns where the service listens.
+// Address returns the host:port that the service listens on.
 func (s *Service) Address() string { return s.listener.Addr().String() }
 
-// Leaves returns how many calls of depth zero arrived.
-func (s *Service) Leaves() int64 { return s.leaves.Load() }
+// LeafCalls returns the number of calls of depth zero received so far.
+func (s *Service) LeafCalls() int64 { return s.leafCalls.Load() }
 
-// Stop ends the service.
+// Stop closes the server and its idle client connections.
 func (s *Service) Stop() {
 	_ = s.server.Close()
 	s.client.CloseIdleConnections()
 }
 
-// ServeHTTP takes one call of the chain.
+// ServeHTTP handles one call; the last path segment is its depth.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	depth, err := strconv.Atoi(r.URL.Path[strings.LastIndexByte(r.URL.Path, '/')+1:])
 	if err != nil {
@@ -86,7 +87,7 @@
 		s.callNext(w, r, depth-1, number)
 		return
 	}
-	s.leaves.Add(1)
+	s.leafCalls.Add(1)
 	if s.config.LeafDeclines {
 		w.Header().Set("Request-Outcome", "not-run")
 		w.Header().Set("Retry-After", "1")
@@ -105,7 +106,7 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		// This service has begun: it cannot say that the call did not run.
+		// Processing has started here, so the call must not be reported as not run.
 		w.WriteHeader(http.StatusBadGateway)
 		return
 	}
@@ -117,7 +118,7 @@
 	if err != nil {
 		return nil, err
 	}
-	for _, name := range passedOn {
+	for _, name := range propagatedHeaders {
 		if value := header.Get(name); value != "" {
 			request.Header.Set(name, value)
 		}
--- a/pkg/bench/experiment/calls_measure.go
+++ b/pkg/bench/experiment/calls_measure.go
@@ -99,7 +99,7 @@
 	result := b.run(b.nodes(), fmt.Sprintf("/decline/%d", amplifiedDepth-1), b.options.Rate/amplifiedDepth)
 	found := Amplification{Depth: amplifiedDepth, Roots: result.Calls}
 	for _, service := range b.declines {
-		found.LeafAttempts += service.Leaves()
+		found.LeafAttempts += service.LeafCalls()
 	}
 	found.PerRoot = float64(found.LeafAttempts) / float64(max(1, found.Roots))
 	return found
