--- a/pkg/bench/check/check_test.go
+++ b/pkg/bench/check/check_test.go
@@ -13,8 +13,8 @@
 
 func at(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 
-// goodRecords break nothing.
-func goodRecords() history.Records {
+// validRecords returns a history without violations.
+func validRecords() history.Records {
 	return history.Records{
 		Calls: []history.Call{
 			{ID: "a", Status: 200, Whole: true, Start: at(1), End: at(2)},
@@ -32,40 +32,41 @@
 	}
 }
 
-func TestGoodHistoryPasses(t *testing.T) {
+func TestValidHistoryHasNoViolations(t *testing.T) {
 	is := is.New(t)
-	is.Equal(len(All(goodRecords(), 3*time.Second)), 0)
-	is.Equal(len(PlannedStop(goodRecords(), at(1), at(5))), 0)
+	is.Equal(len(All(validRecords(), 3*time.Second)), 0)
+	is.Equal(len(PlannedStop(validRecords(), at(1), at(5))), 0)
 }
 
-// TestEveryCheckerTrips spoils a good history in one way at a time.
-func TestEveryCheckerTrips(t *testing.T) {
+// TestEachCheckerDetectsItsViolation guards against a checker that misses the fault it
+// looks for: each case adds one fault to a valid history.
+func TestEachCheckerDetectsItsViolation(t *testing.T) {
 	for name, test := range map[string]struct {
-		spoil func(*history.Records)
-		want  string
+		corrupt func(*history.Records)
+		want    string
 	}{
-		"another call's answer":   {func(r *history.Records) { r.Calls[0].Foreign = true }, WholeAnswer},
-		"cut answer as if whole":  {func(r *history.Records) { r.Calls[0].Whole = false }, WholeAnswer},
-		"refused but ran":         {func(r *history.Records) { r.Executions[0].CallID = "c" }, NotRunIsTrue},
-		"ran twice":               {func(r *history.Records) { r.Executions = append(r.Executions, r.Executions[2]) }, AtMostOnce},
-		"unknown call ran twice":  {func(r *history.Records) { r.Executions = append(r.Executions, r.Executions[3]) }, AtMostOnce},
-		"work after leaving":      {func(r *history.Records) { r.Executions[3].Begun = at(7.5) }, LeavingIsLeft},
-		"version falls":           {func(r *history.Records) { r.Sightings[1].At = at(0.5) }, VersionsGrow},
-		"version falls to none":   {func(r *history.Records) { r.Sightings[2] = history.Sighting{Node: "n", At: at(9)} }, VersionsGrow},
-		"stop cuts a connection":  {func(r *history.Records) { r.Calls[1].Status = 0 }, StopCutsNothing},
-		"stop cuts off an answer": {func(r *history.Records) { r.Calls[1].Whole = false }, StopCutsNothing},
+		"another call's answer":   {func(r *history.Records) { r.Calls[0].Foreign = true }, InvariantWholeResponse},
+		"cut answer as if whole":  {func(r *history.Records) { r.Calls[0].Whole = false }, InvariantWholeResponse},
+		"refused but ran":         {func(r *history.Records) { r.Executions[0].CallID = "c" }, InvariantNotRun},
+		"ran twice":               {func(r *history.Records) { r.Executions = append(r.Executions, r.Executions[2]) }, InvariantAtMostOnce},
+		"unknown call ran twice":  {func(r *history.Records) { r.Executions = append(r.Executions, r.Executions[3]) }, InvariantAtMostOnce},
+		"work after leaving":      {func(r *history.Records) { r.Executions[3].Begun = at(7.5) }, InvariantDeparture},
+		"version falls":           {func(r *history.Records) { r.Sightings[1].At = at(0.5) }, InvariantVersionOrder},
+		"version falls to none":   {func(r *history.Records) { r.Sightings[2] = history.Sighting{Node: "n", At: at(9)} }, InvariantVersionOrder},
+		"stop cuts a connection":  {func(r *history.Records) { r.Calls[1].Status = 0 }, InvariantPlannedStop},
+		"stop cuts off an answer": {func(r *history.Records) { r.Calls[1].Whole = false }, InvariantPlannedStop},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			records := goodRecords()
-			test.spoil(&records)
+			records := validRecords()
+			test.corrupt(&records)
 			found := append(All(records, 3*time.Second), PlannedStop(records, at(1), at(5))...)
 			is.True(len(found) > 0)
-			tripped := false
+			detected := false
 			for _, violation := range found {
-				tripped = tripped || violation.Invariant == test.want
+				detected = detected || violation.Invariant == test.want
 			}
-			is.True(tripped) // the checker of that invariant speaks
+			is.True(detected) // the violation of the expected invariant is reported
 		})
 	}
 }
