--- a/pkg/bench/cli/backend.go
+++ b/pkg/bench/cli/backend.go
@@ -12,7 +12,7 @@
 	"bramblelift/pkg/bench/standin"
 )
 
-// backendOptions are the flags of a back end run by hand.
+// backendOptions are the flags of the backend command, which runs one stand-in back end.
 type backendOptions struct {
 	Listen string        `long:"listen" default:"127.0.0.1:7501" description:"address to listen on"`
 	Name   string        `long:"name" default:"orders-1" description:"name in its answers"`
--- a/pkg/bench/cli/cli.go
+++ b/pkg/bench/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is the command line of the bench.
+// Package cli implements the command line of bramblebench.
 package cli
 
 import (
@@ -15,11 +15,11 @@
 
 // Exit codes.
 const (
-	// ExitOK: the run held what it must.
+	// ExitOK reports a completed run without violations.
 	ExitOK = 0
-	// ExitFailure: it did not, or could not be made.
+	// ExitFailure reports a violation, or a run that could not be completed.
 	ExitFailure = 1
-	// ExitUsage: the command line is wrong.
+	// ExitUsage reports an invalid command line.
 	ExitUsage = 2
 )
 
@@ -32,7 +32,7 @@
 	Bare     baseline.ReverseProxyOptions `command:"bare-proxy" description:"run the bare reverse proxy that calls compares with" hidden:"yes"`
 }
 
-// Main runs the bench and returns its exit code.
+// Main runs the command named by the arguments and returns the exit code.
 func Main(arguments []string, stdout, stderr io.Writer) int {
 	var parsed options
 	parser := flags.NewParser(&parsed, flags.HelpFlag|flags.PassDoubleDash)
--- a/pkg/bench/cli/sim.go
+++ b/pkg/bench/cli/sim.go
@@ -14,7 +14,7 @@
 	"bramblelift/pkg/sim"
 )
 
-// simOptions are the flags of the simulator.
+// simOptions are the flags of the sim command, which runs the simulator.
 type simOptions struct {
 	Seeds    string        `long:"seeds" default:"1-100" description:"first and last seed, like 1-1000"`
 	Profile  string        `long:"profile" default:"san-jose" description:"san-jose or colombo-west"`
@@ -25,7 +25,7 @@
 	Workers  int           `long:"workers" description:"seeds run at a time; default: one a core"`
 }
 
-var errViolations = errors.New("invariants were broken")
+var errViolations = errors.New("simulation violated invariants")
 
 func (o simOptions) run(out io.Writer) error {
 	first, last, err := parseSeeds(o.Seeds)
@@ -36,36 +36,37 @@
 	if err != nil {
 		return err
 	}
-	steps, struck, violations := 0, 0, 0
+	steps, faults, violations := 0, 0, 0
 	var slowest time.Duration
-	failing := uint64(0)
+	failingSeed := uint64(0)
 	for _, result := range results {
 		steps += result.Steps
-		struck += result.Faults
+		faults += result.Faults
 		violations += len(result.Violations)
 		slowest = max(slowest, result.Settled)
 		for _, v := range result.Violations {
 			fmt.Fprintf(out, "violation seed=%d %s\n", result.Seed, v)
 		}
-		if len(result.Violations) > 0 && failing == 0 {
-			failing = result.Seed
+		if len(result.Violations) > 0 && failingSeed == 0 {
+			failingSeed = result.Seed
 		}
 	}
-	if failing != 0 {
-		o.shorten(out, failing)
+	if failingSeed != 0 {
+		o.minimize(out, failingSeed)
 	}
-	if err := o.writeTrace(first, failing); err != nil {
+	if err := o.writeTrace(first, failingSeed); err != nil {
 		return err
 	}
 	fmt.Fprintf(out, "result seeds=%d steps=%d faults=%d violations=%d slowest_settle_ms=%d digest=%016x\n",
-		len(results), steps, struck, violations, slowest.Milliseconds(), combined(results))
+		len(results), steps, faults, violations, slowest.Milliseconds(), combineDigests(results))
 	if violations > 0 {
 		return errViolations
 	}
 	return nil
 }
 
-func combined(results []sim.Result) uint64 {
+// combineDigests returns one digest of all results, which depends on their order.
+func combineDigests(results []sim.Result) uint64 {
 	var digest uint64
 	for _, result := range results {
 		digest = digest*31 + result.Digest
@@ -92,8 +93,7 @@
 	return sim.Options{Seed: seed, Profile: o.Profile, Controls: o.Controls, Faults: o.Faults, FaultTime: o.Duration}
 }
 
-// runSeeds runs all seeds on several workers; the results are in the order of the
-// seeds.
+// runSeeds runs all seeds on parallel workers and returns the results in seed order.
 func (o simOptions) runSeeds(first, last uint64) ([]sim.Result, error) {
 	workers := o.Workers
 	if workers <= 0 {
@@ -118,25 +118,25 @@
 	return results, errors.Join(failures...)
 }
 
-// shorten looks for the shortest fault time and the fewest kinds of faults with which
-// the seed still fails.
-func (o simOptions) shorten(out io.Writer, seed uint64) {
+// minimize searches for a shorter fault time and a single kind of fault with which the
+// seed still fails, and prints what it found.
+func (o simOptions) minimize(out io.Writer, seed uint64) {
 	best := o.options(seed)
-	fails := func(candidate sim.Options) bool {
+	stillFails := func(candidate sim.Options) bool {
 		result, err := sim.Run(candidate)
 		return err == nil && len(result.Violations) > 0
 	}
 	for length := best.FaultTime / 2; length >= time.Second; length /= 2 {
 		candidate := best
 		candidate.FaultTime = length
-		if fails(candidate) {
+		if stillFails(candidate) {
 			best = candidate
 		}
 	}
 	for _, kind := range sim.FaultNames() {
 		candidate := best
 		candidate.Faults = kind
-		if fails(candidate) {
+		if stillFails(candidate) {
 			best = candidate
 			break
 		}
@@ -144,13 +144,13 @@
 	fmt.Fprintf(out, "shortest found: --seeds %d --faults %s --duration %s\n", seed, best.Faults, best.FaultTime)
 }
 
-func (o simOptions) writeTrace(first, failing uint64) error {
+func (o simOptions) writeTrace(first, failingSeed uint64) error {
 	if o.Trace == "" {
 		return nil
 	}
 	seed := first
-	if failing != 0 {
-		seed = failing
+	if failingSeed != 0 {
+		seed = failingSeed
 	}
 	file, err := os.Create(o.Trace)
 	if err != nil {
