--- a/pkg/bench/convergence/recorder.go
+++ b/pkg/bench/convergence/recorder.go
@@ -1,4 +1,5 @@
-// Package convergence times how long changes take until they are in force at nodes.
+// Package convergence measures the time from the request of a change until nodes have it
+// in force.
 package convergence
 
 import (
@@ -11,126 +12,129 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Figures are kept in microseconds.
+// Range and precision of the histogram; its unit is microseconds.
 const (
-	lowestMicros  = 1
-	highestMicros = int64(10 * time.Minute / time.Microsecond)
-	digits        = 3
+	minMicros         = 1
+	maxMicros         = int64(10 * time.Minute / time.Microsecond)
+	significantDigits = 3
 )
 
-// Change is one change on its way to the nodes that need it.
+// Change is a configuration or endpoint change that is being distributed.
 type Change struct {
-	// Name tells the change in messages.
+	// Name identifies the change in messages.
 	Name string
-	// At is when the change was asked for.
+	// At is the time of the request.
 	At time.Time
-	// Matches reports whether a node's state holds the change.
+	// Matches reports whether a node's state contains the change.
 	Matches func(*distribution.State) bool
-	// Needs reports whether a node needs the change; nil means that all do.
-	Needs   func(node string) bool
-	waiting map[string]bool
+	// Needs reports whether a node needs the change; nil means that every node does.
+	Needs func(node string) bool
+	// pendingNodes holds the nodes that do not have the change in force yet.
+	pendingNodes map[string]bool
 }
 
-// Recorder times changes. It is safe for concurrent use.
+// Recorder measures how long changes take to reach nodes. It is safe for concurrent use.
 type Recorder struct {
 	mu        sync.Mutex
 	nodes     []string
-	held      map[string]*distribution.State
-	open      []*Change
+	states    map[string]*distribution.State
+	pending   []*Change
 	histogram *hdrhistogram.Histogram
 }
 
-// NewRecorder returns a recorder for the named nodes.
+// NewRecorder returns an empty recorder for the named nodes.
 func NewRecorder(nodes []string) *Recorder {
 	return &Recorder{
-		nodes: nodes, held: map[string]*distribution.State{},
-		histogram: hdrhistogram.New(lowestMicros, highestMicros, digits),
+		nodes: nodes, states: map[string]*distribution.State{},
+		histogram: hdrhistogram.New(minMicros, maxMicros, significantDigits),
 	}
 }
 
-// InForce takes in that a node has put a state in force.
+// InForce records that a node has put a state in force.
 func (r *Recorder) InForce(node string, state *distribution.State) {
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.held[node] = state
-	var open []*Change
-	for _, change := range r.open {
-		r.see(change, node, state, now)
-		if len(change.waiting) > 0 {
-			open = append(open, change)
+	r.states[node] = state
+	var pending []*Change
+	for _, change := range r.pending {
+		r.recordIfMatched(change, node, state, now)
+		if len(change.pendingNodes) > 0 {
+			pending = append(pending, change)
 		}
 	}
-	r.open = open
+	r.pending = pending
 }
 
-func (r *Recorder) see(change *Change, node string, state *distribution.State, now time.Time) {
-	if !change.waiting[node] || !change.Matches(state) {
+func (r *Recorder) recordIfMatched(change *Change, node string, state *distribution.State, now time.Time) {
+	if !change.pendingNodes[node] || !change.Matches(state) {
 		return
 	}
-	delete(change.waiting, node)
-	_ = r.histogram.RecordValue(max(lowestMicros, now.Sub(change.At).Microseconds()))
+	delete(change.pendingNodes, node)
+	_ = r.histogram.RecordValue(max(minMicros, now.Sub(change.At).Microseconds()))
 }
 
-// Begin starts to time a change. Call it before the change is made.
+// Begin registers a change for measurement. Call it before the change is made.
 func (r *Recorder) Begin(change *Change) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	change.waiting = map[string]bool{}
+	change.pendingNodes = map[string]bool{}
 	for _, node := range r.nodes {
 		if change.Needs == nil || change.Needs(node) {
-			change.waiting[node] = true
+			change.pendingNodes[node] = true
 		}
 	}
-	r.open = append(r.open, change)
+	r.pending = append(r.pending, change)
 }
 
-// Await waits until no change is open.
+// Await waits until every registered change is in force on all nodes that need it. It
+// fails after the limit and names one missing change.
 func (r *Recorder) Await(limit time.Duration) error {
 	deadline := time.Now().Add(limit)
 	for {
-		missing := r.missing()
-		if missing == "" {
+		pending := r.describePending()
+		if pending == "" {
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("after %s %s", limit, missing)
+			return fmt.Errorf("after %s %s", limit, pending)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// missing describes the first open change, empty if there is none.
-func (r *Recorder) missing() string {
+// describePending describes the first change that is not in force everywhere. It returns
+// an empty string if there is none.
+func (r *Recorder) describePending() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, change := range r.open {
-		for node := range change.waiting {
-			return fmt.Sprintf("%s is not in force on %d nodes, among them %s", change.Name, len(change.waiting), node)
+	for _, change := range r.pending {
+		for node := range change.pendingNodes {
+			return fmt.Sprintf("%s is not in force on %d nodes, among them %s", change.Name, len(change.pendingNodes), node)
 		}
 	}
 	return ""
 }
 
-// Forget drops the open changes and what was timed so far.
-func (r *Recorder) Forget() {
+// Reset discards pending changes and all measurements.
+func (r *Recorder) Reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.open = nil
+	r.pending = nil
 	r.histogram.Reset()
 }
 
-// Summary are the figures of a recorder, in milliseconds.
+// Summary holds the convergence times of a recorder in milliseconds.
 type Summary struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
 	P99   float64 `json:"p99_ms"`
 	Worst float64 `json:"worst_ms"`
-	// Curve holds the percentiles from 0 to 100.
+	// Curve holds the percentiles 0 to 100, one entry per percent.
 	Curve []float64 `json:"-"`
 }
 
-// Summary returns the figures so far.
+// Summary returns the convergence times recorded so far.
 func (r *Recorder) Summary() Summary {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pkg/bench/experiment/converge.go
+++ b/pkg/bench/experiment/converge.go
@@ -113,7 +113,7 @@
 
 // repeat makes the changes at the rate and waits until all are in force.
 func (o ConvergeOptions) repeat(recorder *convergence.Recorder, change func() error) error {
-	recorder.Forget()
+	recorder.Reset()
 	random := rand.New(rand.NewPCG(o.Seed, 3))
 	for range o.Changes {
 		next := time.Now().Add(o.pause(random))
