--- a/pkg/bench/demo/demo.go
+++ b/pkg/bench/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo shows the whole path on one machine: real processes, stand-ins for what
-// surrounds them, an operator's work, callers all the while, and a judgement at the
+// Package demo runs the complete system on one machine: real processes, simulated back
+// ends and platform, rollouts, failures and constant load. It checks the history at the
 // end.
 package demo
 
@@ -24,7 +24,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Options are the flags of the demo.
+// Options are the flags of the demo command.
 type Options struct {
 	Profile  string        `long:"profile" default:"san-jose" description:"san-jose or colombo-west"`
 	Seed     uint64        `long:"seed" default:"1" description:"seed of the callers' choices"`
@@ -44,36 +44,39 @@
 	maxMillis   = 60000
 )
 
-// errFailed: the demo's judgement was bad; the last line says why.
-var errFailed = errors.New("the demo did not hold what it must")
+// errFailed is returned when the final checks fail; the output has the details.
+var errFailed = errors.New("demo failed: invariant violated, no call answered or rollout incomplete")
 
-// demo is one run.
+// demo is the state of one run.
 type demo struct {
 	options Options
 	out     io.Writer
 	profile profile.Profile
 	network *faultnet.Network
 	fleet   *fleet.Fleet
-	// entrances are where callers reach the nodes, with the latency to clients.
-	entrances []string
-	platform  *standin.Platform
-	backends  *profile.Backends
-	history   *history.History
-	// convergence is in milliseconds, from acceptance to in force, by node.
-	convergence *hdrhistogram.Histogram
-	rolled      int
-	rollsWanted int
-	started     time.Time
+	// callerAddresses are the addresses at which callers reach the nodes, through fault proxies
+	// that add the client latency.
+	callerAddresses []string
+	platform        *standin.Platform
+	backends        *profile.Backends
+	history         *history.History
+	// convergence holds, for each node and version, the milliseconds from the acceptance
+	// of the rollout until the node has the version in force.
+	convergence    *hdrhistogram.Histogram
+	rollouts       int
+	rolloutsWanted int
+	started        time.Time
 }
 
-// Run runs the demo; the error is nil only if everything held.
+// Run runs the demo and writes progress and result to out. It returns an error if the
+// setup, a step or a final check fails.
 func Run(options Options, out io.Writer) error {
-	chosen, err := profile.Find(options.Profile)
+	selected, err := profile.Find(options.Profile)
 	if err != nil {
 		return err
 	}
 	d := &demo{
-		options: options, out: out, profile: chosen, history: &history.History{}, network: faultnet.New(),
+		options: options, out: out, profile: selected, history: &history.History{}, network: faultnet.New(),
 		convergence: hdrhistogram.New(1, maxMillis, 3), started: time.Now(),
 	}
 	folder, err := os.MkdirTemp("", "bramblelift-demo-")
@@ -90,17 +93,17 @@
 			os.RemoveAll(folder)
 		}
 	}()
-	if err := d.play(); err != nil {
+	if err := d.runScenario(); err != nil {
 		return fmt.Errorf("demo: %w", err)
 	}
-	err = d.judge()
+	err = d.checkResults()
 	if options.Keep {
-		d.keep(folder)
+		d.waitForEnter(folder)
 	}
 	return err
 }
 
-func (d *demo) say(format string, values ...any) {
+func (d *demo) logf(format string, values ...any) {
 	fmt.Fprintf(d.out, "%6.2fs  %s\n", time.Since(d.started).Seconds(), fmt.Sprintf(format, values...))
 }
 
@@ -113,7 +116,7 @@
 		return err
 	}
 	d.platform.SetMachines(d.backends.Machines())
-	d.say("%d back ends of %d services run in %d zones", len(d.backends.All), len(d.profile.Services), len(d.profile.Zones))
+	d.logf("%d back ends of %d services run in %d zones", len(d.backends.All), len(d.profile.Services), len(d.profile.Zones))
 	d.fleet, err = fleet.New(fleet.Config{
 		Folder: filepath.Join(folder, "fleet"), Cluster: d.profile.Name, Zones: d.profile.Zones, Through: d.network.Through,
 		Replicas: replicas, Relays: len(d.profile.Zones), Proxies: d.options.Proxies, ProxyData: true,
@@ -122,7 +125,7 @@
 	if err != nil {
 		return err
 	}
-	if err := d.layOutLatency(); err != nil {
+	if err := d.addLatency(); err != nil {
 		return err
 	}
 	if err := d.fleet.Start(); err != nil {
@@ -133,35 +136,35 @@
 	if err := fleet.WaitReady(ctx, d.fleet.Controls); err != nil {
 		return err
 	}
-	d.say("%d control replicas, %d relays and %d nodes run; a leader is elected", replicas, len(d.fleet.Relays), len(d.fleet.Proxies))
+	d.logf("%d control replicas, %d relays and %d nodes run; a leader is elected", replicas, len(d.fleet.Relays), len(d.fleet.Proxies))
 	return nil
 }
 
-// callers is the name of the callers' end of their links.
-const callers = "callers"
+// callers is the client name of the links between callers and nodes.
+const callersName = "callers"
 
-// layOutLatency slows the links between zones and those from the callers.
-func (d *demo) layOutLatency() error {
+// addLatency delays the links between zones and those from callers to nodes.
+func (d *demo) addLatency() error {
 	for _, node := range d.fleet.Proxies {
-		address, err := d.network.Through(callers, node.Name, node.Address)
+		address, err := d.network.Through(callersName, node.Name, node.Address)
 		if err != nil {
 			return err
 		}
-		d.entrances = append(d.entrances, address)
+		d.callerAddresses = append(d.callerAddresses, address)
 	}
-	if err := d.network.Delay(func(link faultnet.Link) bool { return link.Client == callers }, d.profile.ClientLatency); err != nil {
+	if err := d.network.Delay(func(link faultnet.Link) bool { return link.Client == callersName }, d.profile.ClientLatency); err != nil {
 		return err
 	}
-	return d.network.Delay(d.betweenZones, d.profile.ZoneLatency)
+	return d.network.Delay(d.crossesZones, d.profile.ZoneLatency)
 }
 
-// betweenZones matches the links between processes in different zones.
-func (d *demo) betweenZones(link faultnet.Link) bool {
+// crossesZones reports whether a link connects processes in different zones.
+func (d *demo) crossesZones(link faultnet.Link) bool {
 	zones := map[string]string{}
 	for _, node := range d.fleet.All() {
 		zones[node.Name] = node.Zone
 	}
-	return link.Client != callers && zones[link.Client] != zones[link.Server]
+	return link.Client != callersName && zones[link.Client] != zones[link.Server]
 }
 
 func (d *demo) tearDown() {
@@ -177,8 +180,9 @@
 	}
 }
 
-// play is the operator's day in short, with callers all the while.
-func (d *demo) play() error {
+// runScenario publishes versions, drains a back end, kills the leader and restarts a node
+// while callers send load.
+func (d *demo) runScenario() error {
 	if err := d.publish("first version", "first-credential"); err != nil {
 		return err
 	}
@@ -187,7 +191,7 @@
 	if err := fleet.WaitReady(ctx, d.fleet.Proxies); err != nil {
 		return err
 	}
-	d.say("every node serves version 1; callers begin")
+	d.logf("every node serves version 1; callers begin")
 	loadContext, stopLoad := context.WithTimeout(context.Background(), d.options.Duration)
 	defer stopLoad()
 	loadDone := make(chan struct{})
@@ -201,16 +205,16 @@
 		return err
 	}
 	time.Sleep(step)
-	d.backendLeaves()
+	d.drainBackend()
 	time.Sleep(step)
-	if err := d.leaderDies(); err != nil {
+	if err := d.killLeader(); err != nil {
 		return err
 	}
 	if err := d.publish("version rolled by the new leader", "third-credential"); err != nil {
 		return err
 	}
 	time.Sleep(step)
-	if err := d.nodeRestarts(); err != nil {
+	if err := d.restartNode(); err != nil {
 		return err
 	}
 	<-loadDone
@@ -219,14 +223,14 @@
 
 func (d *demo) load(ctx context.Context) {
 	load.Run(ctx, load.Config{
-		Services: d.profile.Services, Nodes: d.entrances[:max(1, len(d.entrances)-1)], Callers: callerCount,
+		Services: d.profile.Services, Nodes: d.callerAddresses[:max(1, len(d.callerAddresses)-1)], Callers: callerCount,
 		Pause: callerPause, Timeout: callTimeout, Seed: d.options.Seed,
 	}, d.history)
 }
 
-// publish rolls a bundle and times how long each node takes to have it in force.
+// publish rolls out a bundle and waits until it is in force on every node.
 func (d *demo) publish(what, credential string) error {
-	d.rollsWanted++
+	d.rolloutsWanted++
 	ctx, cancel := context.WithTimeout(context.Background(), setupLimit)
 	defer cancel()
 	number, accepted, err := d.fleet.Publish(ctx, d.profile.BundleText(credential))
@@ -237,32 +241,34 @@
 	if err != nil {
 		return err
 	}
-	d.rolled++
-	d.say("version %d (%s) accepted; in force on every node %d ms later", number, what, worst.Milliseconds())
+	d.rollouts++
+	d.logf("version %d (%s) accepted; in force on every node %d ms later", number, what, worst.Milliseconds())
 	return nil
 }
 
-// awaitVersion polls the nodes' status pages, so a figure includes one poll.
+// awaitVersion polls the status page of each node until all have the version in force. The
+// returned time therefore includes the delay of one poll.
 func (d *demo) awaitVersion(ctx context.Context, number uint64, accepted time.Time) (time.Duration, error) {
-	waiting := append([]*fleet.Node(nil), d.fleet.Proxies...)
-	for len(waiting) > 0 {
+	pending := append([]*fleet.Node(nil), d.fleet.Proxies...)
+	for len(pending) > 0 {
 		if ctx.Err() != nil {
-			return 0, fmt.Errorf("%s does not have version %d in force", waiting[0].Name, number)
+			return 0, fmt.Errorf("%s does not have version %d in force", pending[0].Name, number)
 		}
-		var still []*fleet.Node
-		for _, node := range waiting {
-			if !d.sees(node, number, accepted) {
-				still = append(still, node)
+		var remaining []*fleet.Node
+		for _, node := range pending {
+			if !d.recordVersion(node, number, accepted) {
+				remaining = append(remaining, node)
 			}
 		}
-		waiting = still
+		pending = remaining
 		time.Sleep(2 * time.Millisecond)
 	}
 	return time.Since(accepted), nil
 }
 
-// sees records what a node has in force.
-func (d *demo) sees(node *fleet.Node, number uint64, accepted time.Time) bool {
+// recordVersion records the version in force on a node and reports whether it has reached
+// the given number.
+func (d *demo) recordVersion(node *fleet.Node, number uint64, accepted time.Time) bool {
 	var status proxy.Status
 	if err := node.Status(&status); err != nil {
 		return false
@@ -275,27 +281,27 @@
 	return true
 }
 
-func (d *demo) backendLeaves() {
+func (d *demo) drainBackend() {
 	leaving := d.backends.All[0]
 	leaving.Drain()
 	machines := d.backends.Machines()
 	machines[0].Leaving = true
 	d.platform.SetMachines(machines)
-	d.say("back end %s says that it leaves; the platform's list says so %s later", leaving.Config.Name, platformLag)
+	d.logf("back end %s says that it leaves; the platform's list says so %s later", leaving.Config.Name, platformLag)
 }
 
-func (d *demo) leaderDies() error {
+func (d *demo) killLeader() error {
 	leader, err := d.fleet.Leader()
 	if err != nil {
 		return err
 	}
 	leader.Kill()
-	d.say("the leader, %s, is killed", leader.Name)
+	d.logf("the leader, %s, is killed", leader.Name)
 	time.Sleep(100 * time.Millisecond)
 	return leader.Start()
 }
 
-func (d *demo) nodeRestarts() error {
+func (d *demo) restartNode() error {
 	node := d.fleet.Proxies[len(d.fleet.Proxies)-1]
 	node.Kill()
 	if err := node.Start(); err != nil {
@@ -311,33 +317,33 @@
 		return err
 	}
 	d.history.AddSighting(history.Sighting{Node: node.Name, Version: status.Version, At: time.Now()})
-	d.say("%s is killed and comes back with version %d", node.Name, status.Version)
+	d.logf("%s is killed and comes back with version %d", node.Name, status.Version)
 	return nil
 }
 
-// judge runs the checkers and prints the result line.
-func (d *demo) judge() error {
+// checkResults runs the checkers and prints the result line.
+func (d *demo) checkResults() error {
 	records := d.history.Records()
 	violations := check.All(records, leaveBound)
 	for _, violation := range violations {
-		d.say("VIOLATION %s", violation)
+		d.logf("VIOLATION %s", violation)
 	}
 	summary := load.Summarize(records)
 	bytes, err := d.controlBytes()
 	if err != nil {
 		return fmt.Errorf("demo: count control bytes: %w", err)
 	}
-	d.say("%d calls: %d answered, %d refused, %d ended without an answer", summary.Calls, summary.Answered, summary.Refused, summary.Failed)
+	d.logf("%d calls: %d answered, %d refused, %d ended without an answer", summary.Calls, summary.Answered, summary.Refused, summary.Failed)
 	fmt.Fprintf(d.out, "result profile=%s seed=%d proxies=%d calls=%d answered=%d refused=%d violations=%d convergence_p50_ms=%d convergence_p99_ms=%d control_bytes_per_proxy=%d\n",
 		d.profile.Name, d.options.Seed, d.options.Proxies, summary.Calls, summary.Answered, summary.Refused,
 		len(violations), d.convergence.ValueAtQuantile(50), d.convergence.ValueAtQuantile(99), bytes)
-	if len(violations) > 0 || summary.Answered == 0 || d.rolled < d.rollsWanted {
+	if len(violations) > 0 || summary.Answered == 0 || d.rollouts < d.rolloutsWanted {
 		return errFailed
 	}
 	return nil
 }
 
-// controlBytes returns the mean of the bytes that a node exchanged with relays since
+// controlBytes returns the mean number of bytes that a node exchanged with relays since
 // its last start.
 func (d *demo) controlBytes() (int64, error) {
 	var total float64
@@ -351,7 +357,7 @@
 	return int64(total / float64(len(d.fleet.Proxies))), nil
 }
 
-func (d *demo) keep(folder string) {
+func (d *demo) waitForEnter(folder string) {
 	fmt.Fprintf(d.out, "the fleet stays up; settings and logs are in %s\n", folder)
 	for _, node := range d.fleet.All() {
 		fmt.Fprintf(d.out, "%-10s listens on %s, administration on %s\n", node.Name, node.Address, node.Admin)
