--- a/pkg/bench/experiment/calls.go
+++ b/pkg/bench/experiment/calls.go
@@ -16,7 +16,7 @@
 	"bramblelift/pkg/bench/standin"
 )
 
-// CallsOptions are the flags of the data-plane experiment.
+// CallsOptions are the flags of the calls command, the data-plane experiment.
 type CallsOptions struct {
 	Proxies  int           `long:"proxies" default:"4" description:"how many nodes"`
 	Depth    int           `long:"depth" default:"27" description:"deepest chain of calls"`
@@ -27,16 +27,18 @@
 	JSON     string        `long:"json" value-name:"FILE" description:"write the report as JSON, - for the output"`
 }
 
-// Added is the time of calls over one way.
-type Added struct {
+// PathLatency holds the latency of calls over one path: direct, through the bare reverse
+// proxy or through a node.
+type PathLatency struct {
 	Way   string  `json:"way"`
 	Calls int     `json:"calls"`
 	P50   float64 `json:"p50_ms"`
 	P99   float64 `json:"p99_ms"`
 }
 
-// Chain is the time of chains of one depth.
-type Chain struct {
+// ChainLatency holds the latency of call chains of one depth, with direct calls between
+// services and with calls through nodes.
+type ChainLatency struct {
 	Depth     int     `json:"depth"`
 	DirectP50 float64 `json:"direct_p50_ms"`
 	DirectP99 float64 `json:"direct_p99_ms"`
@@ -44,7 +46,8 @@
 	NodeP99   float64 `json:"node_p99_ms"`
 }
 
-// Amplification is what a leaf that declines every call gets.
+// Amplification counts the attempts that reach the last service of a chain when that
+// service declines every call.
 type Amplification struct {
 	Depth        int     `json:"depth"`
 	Roots        int     `json:"root_calls"`
@@ -52,8 +55,9 @@
 	PerRoot      float64 `json:"leaf_attempts_per_root_call"`
 }
 
-// Goodput is how calls end at a load relative to what the back ends can carry.
+// Goodput holds the rates of call outcomes at one offered load.
 type Goodput struct {
+	// Load is the offered rate as a multiple of the capacity of the back ends.
 	Load     float64 `json:"load"`
 	Offered  float64 `json:"offered_per_second"`
 	Answered float64 `json:"answered_per_second"`
@@ -63,63 +67,65 @@
 	RefuseMs float64 `json:"refused_p99_ms"`
 }
 
-// CallsReport is what the experiment found.
+// CallsReport holds the results of the data-plane experiment.
 type CallsReport struct {
-	Run           Run           `json:"run"`
-	Ways          []Added       `json:"ways"`
-	Chains        []Chain       `json:"chains"`
-	Amplification Amplification `json:"amplification"`
-	Goodput       []Goodput     `json:"goodput"`
-	NodeMemory    float64       `json:"node_memory_bytes"`
-	// NodeCPU is the processor time of a node for a call, in microseconds.
+	Run           Run            `json:"run"`
+	Ways          []PathLatency  `json:"ways"`
+	Chains        []ChainLatency `json:"chains"`
+	Amplification Amplification  `json:"amplification"`
+	Goodput       []Goodput      `json:"goodput"`
+	// NodeMemory is the largest resident size of a node in bytes.
+	NodeMemory float64 `json:"node_memory_bytes"`
+	// NodeCPU is the CPU time of a node per call in microseconds.
 	NodeCPU float64 `json:"node_cpu_micros_per_call"`
 }
 
 const (
-	callLimit = 15 * time.Second
-	// goodputSlots, goodputBackends and goodputWork make what the back ends carry.
-	goodputSlots    = 6
-	goodputBackends = 4
-	goodputWork     = 40 * time.Millisecond
-	chainBackends   = 4
-	amplifiedDepth  = 5
-	serviceChain    = "chain"
-	serviceDecline  = "decline"
-	serviceLoaded   = "loaded"
+	callTimeout = 15 * time.Second
+	// goodputSlots, goodputBackends and goodputWork determine the capacity in the goodput
+	// measurement.
+	goodputSlots       = 6
+	goodputBackends    = 4
+	goodputWork        = 40 * time.Millisecond
+	chainBackends      = 4
+	amplificationDepth = 5
+	serviceChain       = "chain"
+	serviceDecline     = "decline"
+	serviceLoaded      = "loaded"
 )
 
-var errBadCalls = errors.New("proxies, depth, rate and rounds must be more than zero")
+var errInvalidCallsOptions = errors.New("proxies, depth, rate and rounds must be more than zero")
 
-// callsBench is the experiment's set-up.
-type callsBench struct {
-	options  CallsOptions
-	folder   string
-	platform *standin.Platform
-	fleet    *fleet.Fleet
-	chains   []*chain.Service
-	declines []*chain.Service
-	loaded   []*standin.Backend
-	bare     *fleet.Process
-	bareAddr string
+// callsExperiment holds the processes and services of a data-plane experiment.
+type callsExperiment struct {
+	options          CallsOptions
+	folder           string
+	platform         *standin.Platform
+	fleet            *fleet.Fleet
+	chains           []*chain.Service
+	declines         []*chain.Service
+	loaded           []*standin.Backend
+	bareProxy        *fleet.Process
+	bareProxyAddress string
 }
 
-// Calls measures the data plane: the time a node adds, chains, retries, and goodput
-// under overload.
+// Calls measures the latency that a node adds, call chains, retry amplification and
+// goodput under overload, and writes the report to out.
 func Calls(options CallsOptions, out io.Writer) error {
 	if options.Proxies < 1 || options.Depth < 1 || options.Rate <= 0 || options.Rounds < 1 {
-		return errBadCalls
+		return errInvalidCallsOptions
 	}
-	b := &callsBench{options: options}
+	b := &callsExperiment{options: options}
 	defer b.stop()
 	if err := b.start(); err != nil {
 		return fmt.Errorf("calls: set up: %w", err)
 	}
-	report := &CallsReport{Run: currentRun("calls", options.Seed, options.Proxies)}
+	report := &CallsReport{Run: newRun("calls", options.Seed, options.Proxies)}
 	cpuBefore, err := readUsage(b.fleet.Proxies[0])
 	if err != nil {
 		return err
 	}
-	report.Ways = b.measureAdded()
+	report.Ways = b.measureAddedLatency()
 	cpuAfter, err := readUsage(b.fleet.Proxies[0])
 	if err != nil {
 		return err
@@ -128,15 +134,15 @@
 	report.Chains = b.measureChains()
 	report.Amplification = b.measureAmplification()
 	report.Goodput = b.measureGoodput()
-	usage, err := readRole(b.fleet.Proxies)
+	usage, err := readRoleUsage(b.fleet.Proxies)
 	if err != nil {
 		return err
 	}
 	report.NodeMemory = usage.memory
-	return report.show(options, out)
+	return report.write(options, out)
 }
 
-func (b *callsBench) start() error {
+func (b *callsExperiment) start() error {
 	var err error
 	if b.folder, err = os.MkdirTemp("", "bramblelift-calls-"); err != nil {
 		return err
@@ -166,9 +172,9 @@
 	if err := fleet.WaitReady(ctx, b.fleet.Proxies); err != nil {
 		return err
 	}
-	// The platform's list must have reached the nodes.
+	// Allow time for the machine list to reach the nodes.
 	time.Sleep(2 * time.Second)
-	return b.startBare()
+	return b.startBareProxy()
 }
 
 const callsBundle = `
@@ -200,7 +206,7 @@
 timeout = "2s"
 `
 
-func (b *callsBench) startServices() error {
+func (b *callsExperiment) startServices() error {
 	for range chainBackends {
 		for _, list := range []*[]*chain.Service{&b.chains, &b.declines} {
 			service, err := chain.Start()
@@ -223,7 +229,7 @@
 	return nil
 }
 
-func (b *callsBench) machines() []standin.Machine {
+func (b *callsExperiment) machines() []standin.Machine {
 	var all []standin.Machine
 	add := func(service, address string) {
 		all = append(all, standin.Machine{Service: service, ID: fmt.Sprintf("%s-%d", service, len(all)), Incarnation: 1, Address: address, Zone: "a"})
@@ -240,26 +246,26 @@
 	return all
 }
 
-// startBare runs the bare reverse proxy in a process of its own, as the nodes are.
-func (b *callsBench) startBare() error {
+// startBareProxy runs the bare reverse proxy in a separate process, like the nodes.
+func (b *callsExperiment) startBareProxy() error {
 	self, err := os.Executable()
 	if err != nil {
 		return fmt.Errorf("start bare proxy: %w", err)
 	}
-	if b.bareAddr, err = b.fleet.FreeAddress(); err != nil {
+	if b.bareProxyAddress, err = b.fleet.FreeAddress(); err != nil {
 		return err
 	}
-	b.bare = fleet.NewProcess("bare", filepath.Join(b.folder, "bare.log"), self,
-		"bare-proxy", "--listen", b.bareAddr, "--target", b.chains[0].Address())
-	if err := b.bare.Start(); err != nil {
+	b.bareProxy = fleet.NewProcess("bare", filepath.Join(b.folder, "bare.log"), self,
+		"bare-proxy", "--listen", b.bareProxyAddress, "--target", b.chains[0].Address())
+	if err := b.bareProxy.Start(); err != nil {
 		return err
 	}
-	return awaitListening(b.bareAddr)
+	return waitForListener(b.bareProxyAddress)
 }
 
-func (b *callsBench) stop() {
-	if b.bare != nil {
-		b.bare.Kill()
+func (b *callsExperiment) stop() {
+	if b.bareProxy != nil {
+		b.bareProxy.Kill()
 	}
 	if b.fleet != nil {
 		b.fleet.Kill()
@@ -276,8 +282,8 @@
 	os.RemoveAll(b.folder)
 }
 
-// nodes returns the addresses that callers use.
-func (b *callsBench) nodes() []string {
+// nodes returns the call addresses of all nodes.
+func (b *callsExperiment) nodes() []string {
 	var all []string
 	for _, node := range b.fleet.Proxies {
 		all = append(all, node.Address)
@@ -293,9 +299,9 @@
 	return all
 }
 
-func (b *callsBench) run(addresses []string, path string, rate float64) load.OpenResult {
+func (b *callsExperiment) run(addresses []string, path string, rate float64) load.OpenResult {
 	return load.RunOpen(context.Background(), load.OpenConfig{
 		URLs: urls(addresses, path), Method: http.MethodGet, Rate: rate, Duration: b.options.Duration,
-		Timeout: callLimit, Seed: b.options.Seed,
+		Timeout: callTimeout, Seed: b.options.Seed,
 	})
 }
--- a/pkg/bench/experiment/calls_measure.go
+++ b/pkg/bench/experiment/calls_measure.go
@@ -12,11 +12,11 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-func millis(h *hdrhistogram.Histogram, percentile float64) float64 {
+func percentileMillis(h *hdrhistogram.Histogram, percentile float64) float64 {
 	return float64(h.ValueAtQuantile(percentile)) / 1000
 }
 
-func awaitListening(address string) error {
+func waitForListener(address string) error {
 	deadline := time.Now().Add(5 * time.Second)
 	for {
 		conn, err := net.Dial("tcp", address)
@@ -24,15 +24,15 @@
 			return conn.Close()
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("bare proxy: %w", err)
+			return fmt.Errorf("wait for bare proxy: %w", err)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// measureAdded times calls straight to a back end, through the bare proxy and through a
-// node, in turn, so that a noisy moment meets all three.
-func (b *callsBench) measureAdded() []Added {
+// measureAddedLatency measures calls directly to a back end, through the bare proxy and
+// through a node. It alternates between them, so that noise affects all three alike.
+func (b *callsExperiment) measureAddedLatency() []PathLatency {
 	for _, service := range b.chains {
 		service.Configure(chain.Config{})
 	}
@@ -40,7 +40,7 @@
 		name    string
 		address string
 	}{
-		{"direct", b.chains[0].Address()}, {"bare reverse proxy", b.bareAddr}, {"bramblelift", b.nodes()[0]},
+		{"direct", b.chains[0].Address()}, {"bare reverse proxy", b.bareProxyAddress}, {"bramblelift", b.nodes()[0]},
 	}
 	histograms := map[string]*hdrhistogram.Histogram{}
 	for range b.options.Rounds {
@@ -53,75 +53,75 @@
 			}
 		}
 	}
-	var added []Added
+	var latencies []PathLatency
 	for _, way := range ways {
 		h := histograms[way.name]
-		added = append(added, Added{Way: way.name, Calls: int(h.TotalCount()), P50: millis(h, 50), P99: millis(h, 99)})
+		latencies = append(latencies, PathLatency{Way: way.name, Calls: int(h.TotalCount()), P50: percentileMillis(h, 50), P99: percentileMillis(h, 99)})
 	}
-	return added
+	return latencies
 }
 
-// measureChains times chains through the nodes and the same chains without them.
-func (b *callsBench) measureChains() []Chain {
+// measureChains measures call chains with and without nodes between the services.
+func (b *callsExperiment) measureChains() []ChainLatency {
 	var backends []string
 	for _, service := range b.chains {
 		backends = append(backends, service.Address())
 	}
-	var found []Chain
+	var measured []ChainLatency
 	for _, depth := range []int{1, 3, 9, b.options.Depth} {
-		// As many calls a second in all, whatever the depth.
+		// Keep the total rate of calls, over all hops, the same for each depth.
 		rate := max(5, b.options.Rate/float64(depth))
 		path := fmt.Sprintf("/chain/%d", depth-1)
 		b.configureChains(backends)
 		direct := b.run(backends, path, rate)
 		b.configureChains(b.nodes())
-		through := b.run(b.nodes(), path, rate)
-		found = append(found, Chain{
-			Depth: depth, DirectP50: millis(direct.Latency, 50), DirectP99: millis(direct.Latency, 99),
-			NodeP50: millis(through.Latency, 50), NodeP99: millis(through.Latency, 99),
+		viaNodes := b.run(b.nodes(), path, rate)
+		measured = append(measured, ChainLatency{
+			Depth: depth, DirectP50: percentileMillis(direct.Latency, 50), DirectP99: percentileMillis(direct.Latency, 99),
+			NodeP50: percentileMillis(viaNodes.Latency, 50), NodeP99: percentileMillis(viaNodes.Latency, 99),
 		})
 	}
-	return found
+	return measured
 }
 
-func (b *callsBench) configureChains(next []string) {
+func (b *callsExperiment) configureChains(next []string) {
 	for _, service := range b.chains {
 		service.Configure(chain.Config{Next: next, Prefix: "/chain"})
 	}
 }
 
-// measureAmplification lets the leaf of a chain decline everything and counts how many
-// calls reach it.
-func (b *callsBench) measureAmplification() Amplification {
+// measureAmplification makes the last service of a chain decline every call and counts the
+// attempts that reach it.
+func (b *callsExperiment) measureAmplification() Amplification {
 	for _, service := range b.declines {
 		service.Configure(chain.Config{Next: b.nodes(), Prefix: "/decline", LeafDeclines: true})
 	}
-	result := b.run(b.nodes(), fmt.Sprintf("/decline/%d", amplifiedDepth-1), b.options.Rate/amplifiedDepth)
-	found := Amplification{Depth: amplifiedDepth, Roots: result.Calls}
+	result := b.run(b.nodes(), fmt.Sprintf("/decline/%d", amplificationDepth-1), b.options.Rate/amplificationDepth)
+	measured := Amplification{Depth: amplificationDepth, Roots: result.Calls}
 	for _, service := range b.declines {
-		found.LeafAttempts += service.LeafCalls()
+		measured.LeafAttempts += service.LeafCalls()
 	}
-	found.PerRoot = float64(found.LeafAttempts) / float64(max(1, found.Roots))
-	return found
+	measured.PerRoot = float64(measured.LeafAttempts) / float64(max(1, measured.Roots))
+	return measured
 }
 
-// measureGoodput offers from half to three times what the back ends can carry.
-func (b *callsBench) measureGoodput() []Goodput {
+// measureGoodput offers loads from half to three times the capacity of the back ends.
+func (b *callsExperiment) measureGoodput() []Goodput {
 	capacity := goodputBackends * goodputSlots / goodputWork.Seconds()
-	var found []Goodput
+	var measured []Goodput
 	for _, share := range []float64{0.5, 0.8, 1, 1.5, 2, 3} {
 		result := b.run(b.nodes(), "/loaded/x", capacity*share)
 		seconds := b.options.Duration.Seconds()
-		found = append(found, Goodput{
+		measured = append(measured, Goodput{
 			Load: share, Offered: float64(result.Calls) / seconds, Answered: float64(result.Answered) / seconds,
 			Refused: float64(result.Refused) / seconds, Failed: result.Failed,
-			P99: millis(result.Latency, 99), RefuseMs: millis(result.RefusalLatency, 99),
+			P99: percentileMillis(result.Latency, 99), RefuseMs: percentileMillis(result.RefusalLatency, 99),
 		})
 	}
-	return found
+	return measured
 }
 
-func (r *CallsReport) show(options CallsOptions, out io.Writer) error {
+func (r *CallsReport) write(options CallsOptions, out io.Writer) error {
 	if options.JSON == "-" {
 		return writeJSON(out, options.JSON, r)
 	}
@@ -139,10 +139,10 @@
 		fmt.Fprintf(table, "%.1f\t%.0f\t%.0f\t%.0f\t%d\t%.1f\t%.1f\t\n", g.Load, g.Offered, g.Answered, g.Refused, g.Failed, g.P99, g.RefuseMs)
 	}
 	table.Flush()
-	direct, bare, node := r.Ways[0], r.Ways[1], r.Ways[2]
+	direct, bareProxy, node := r.Ways[0], r.Ways[1], r.Ways[2]
 	last := r.Goodput[len(r.Goodput)-1]
 	fmt.Fprintf(out, "result commit=%s seed=%d direct_p99_ms=%.3f bare_p99_ms=%.3f node_p99_ms=%.3f added_p50_ms=%.3f added_p99_ms=%.3f leaf_attempts_per_root=%.2f goodput_at_3=%.0f node_memory_mb=%.1f node_cpu_us_per_call=%.0f\n",
-		r.Run.Commit, r.Run.Seed, direct.P99, bare.P99, node.P99, node.P50-direct.P50, node.P99-direct.P99,
+		r.Run.Commit, r.Run.Seed, direct.P99, bareProxy.P99, node.P99, node.P50-direct.P50, node.P99-direct.P99,
 		r.Amplification.PerRoot, last.Answered, r.NodeMemory/(1<<20), r.NodeCPU)
 	if options.JSON != "" {
 		return writeJSON(out, options.JSON, r)
--- a/pkg/bench/experiment/converge.go
+++ b/pkg/bench/experiment/converge.go
@@ -18,7 +18,7 @@
 	"bramblelift/pkg/settings"
 )
 
-// ConvergeOptions are the flags of the convergence experiment.
+// ConvergeOptions are the flags of the converge command, the convergence experiment.
 type ConvergeOptions struct {
 	Profile string        `long:"profile" default:"san-jose" description:"san-jose or colombo-west"`
 	Proxies int           `long:"proxies" default:"100" description:"how many hollow nodes"`
@@ -32,55 +32,56 @@
 	Plot    string        `long:"plot" value-name:"FILE" description:"draw the convergence, .svg or .png"`
 }
 
-// ConvergeReport is what the experiment found.
+// ConvergeReport holds the results of the convergence experiment for each system.
 type ConvergeReport struct {
-	Run     Run       `json:"run"`
-	Systems []Figures `json:"systems"`
+	Run     Run            `json:"run"`
+	Systems []SystemResult `json:"systems"`
 }
 
 const (
 	realNodes = 2
-	// platformInterval is how often the product reads the list; the baselines do as
-	// it does.
+	// platformInterval is the period at which the product and the baselines read the
+	// machine list.
 	platformInterval = settings.DefaultPlatformInterval
 	minChanges       = 1
 )
 
 var (
-	errBadRate   = errors.New("rate, changes and proxies must be more than zero")
-	errBadChange = errors.New("change must be endpoint, bundle or secret")
+	errInvalidConvergeOptions = errors.New("rate, changes and proxies must be more than zero")
+	errInvalidChange          = errors.New("change must be endpoint, bundle or secret")
 )
 
-// Converge measures the product and both baselines on the same changes.
+// Converge measures the product and both baselines with the same changes and writes the
+// report to out.
 func Converge(options ConvergeOptions, out io.Writer) error {
 	if options.Rate <= 0 || options.Changes < minChanges || options.Proxies < 1 {
-		return errBadRate
+		return errInvalidConvergeOptions
 	}
 	if !slices.Contains([]string{changeEndpoint, changeBundle, changeSecret}, options.Change) {
-		return errBadChange
+		return errInvalidChange
 	}
 	chosen, err := profile.Find(options.Profile)
 	if err != nil {
 		return err
 	}
-	report := ConvergeReport{Run: currentRun(chosen.Name, options.Seed, options.Proxies)}
+	report := ConvergeReport{Run: newRun(chosen.Name, options.Seed, options.Proxies)}
 	report.Run.Change, report.Run.Changes = options.Change, options.Changes
-	product, err := convergeProduct(options, profileWorkload(chosen, options.Seed))
+	product, err := convergeProduct(options, newProfileWorkload(chosen, options.Seed))
 	if err != nil {
 		return fmt.Errorf("measure bramblelift: %w", err)
 	}
 	report.Systems = append(report.Systems, product)
 	for _, mode := range []baseline.Mode{baseline.Push, baseline.Poll} {
-		figures, err := convergeBaseline(options, mode, profileWorkload(chosen, options.Seed))
+		result, err := convergeBaseline(options, mode, newProfileWorkload(chosen, options.Seed))
 		if err != nil {
 			return fmt.Errorf("measure %s: %w", mode, err)
 		}
-		report.Systems = append(report.Systems, figures)
+		report.Systems = append(report.Systems, result)
 	}
-	return report.show(options, out)
+	return report.write(options, out)
 }
 
-func (r ConvergeReport) show(options ConvergeOptions, out io.Writer) error {
+func (r ConvergeReport) write(options ConvergeOptions, out io.Writer) error {
 	if options.JSON == "-" {
 		return writeJSON(out, options.JSON, r)
 	}
@@ -105,18 +106,18 @@
 	return nil
 }
 
-// pause spreads the changes, so that they do not fall into step with a period of what
-// is measured.
-func (o ConvergeOptions) pause(random *rand.Rand) time.Duration {
+// nextInterval returns a random time to the next change, so that changes do not align with
+// a period of the measured system.
+func (o ConvergeOptions) nextInterval(random *rand.Rand) time.Duration {
 	return time.Duration((0.5 + random.Float64()) * float64(time.Second) / o.Rate)
 }
 
-// repeat makes the changes at the rate and waits until all are in force.
-func (o ConvergeOptions) repeat(recorder *convergence.Recorder, change func() error) error {
+// makeChanges makes the changes at the configured rate and waits until all are in force.
+func (o ConvergeOptions) makeChanges(recorder *convergence.Recorder, change func() error) error {
 	recorder.Reset()
 	random := rand.New(rand.NewPCG(o.Seed, 3))
 	for range o.Changes {
-		next := time.Now().Add(o.pause(random))
+		next := time.Now().Add(o.nextInterval(random))
 		if err := change(); err != nil {
 			return err
 		}
@@ -125,58 +126,58 @@
 	return recorder.Await(convergeLimit)
 }
 
-func convergeProduct(options ConvergeOptions, work *workload) (Figures, error) {
+func convergeProduct(options ConvergeOptions, work *workload) (SystemResult, error) {
 	s, err := startSystem(work, systemSize{nodes: options.Proxies, realNodes: realNodes, relays: len(work.zones)})
 	if err != nil {
-		return Figures{}, err
+		return SystemResult{}, err
 	}
 	defer s.stop()
-	idleFrom, err := s.read()
+	idleFrom, err := s.sampleCosts()
 	if err != nil {
-		return Figures{}, err
+		return SystemResult{}, err
 	}
 	time.Sleep(options.Idle)
-	from, err := s.read()
+	from, err := s.sampleCosts()
 	if err != nil {
-		return Figures{}, err
+		return SystemResult{}, err
 	}
-	if err := options.repeat(s.recorder, func() error { return s.change(options.Change) }); err != nil {
-		return Figures{}, err
+	if err := options.makeChanges(s.recorder, func() error { return s.change(options.Change) }); err != nil {
+		return SystemResult{}, err
 	}
-	to, err := s.read()
+	to, err := s.sampleCosts()
 	if err != nil {
-		return Figures{}, err
+		return SystemResult{}, err
 	}
-	figures := Figures{
+	result := SystemResult{
 		System: "bramblelift", Convergence: s.recorder.Summary(), Seconds: to.at.Sub(from.at).Seconds(),
-		NodeBytes: to.swarm.Minus(from.swarm), NodeMemory: to.node.memory,
+		NodeBytes: to.hollowNodes.Minus(from.hollowNodes), NodeMemory: to.node.memory,
 	}
-	figures.divide(options.Proxies, options.Changes)
+	result.setPerNodeBytes(options.Proxies, options.Changes)
 	idle := from.at.Sub(idleFrom.at).Seconds()
-	figures.IdleBytes = float64(from.swarm.Minus(idleFrom.swarm).Total()) / float64(options.Proxies) / idle
-	figures.IdleCPU = (from.node.cpuSeconds - idleFrom.node.cpuSeconds) / float64(realNodes) / idle
-	figures.LinkBytes = linkBytes(from, to)
-	return figures, nil
+	result.IdleBytes = float64(from.hollowNodes.Minus(idleFrom.hollowNodes).Total()) / float64(options.Proxies) / idle
+	result.IdleCPU = (from.node.cpuSeconds - idleFrom.node.cpuSeconds) / float64(realNodes) / idle
+	result.LinkBytes = linkBytes(from, to)
+	return result, nil
 }
 
-// linkBytes returns the bytes of each link between two readings. Each link is counted at
-// one of its ends.
-func linkBytes(from, to reading) map[string]int64 {
+// linkBytes returns the bytes sent over each kind of link between two samples. Each link
+// is counted at one of its ends.
+func linkBytes(from, to costSample) map[string]int64 {
 	difference := func(a, b roleUsage, link string) int64 { return int64(b.links[link] - a.links[link]) }
 	return map[string]int64{
 		"platform-control": to.platform - from.platform,
-		// Both ends of a link between replicas are control replicas.
+		// Both ends of these links are control replicas, so each byte is counted twice.
 		"control-control": difference(from.control, to.control, "replica") / 2,
 		"control-relay":   difference(from.relay, to.relay, "control"),
 		"relay-node":      difference(from.relay, to.relay, "node"),
 	}
 }
 
-// convergeBaseline runs one baseline on the same changes.
-func convergeBaseline(options ConvergeOptions, mode baseline.Mode, work *workload) (Figures, error) {
+// convergeBaseline measures one baseline.
+func convergeBaseline(options ConvergeOptions, mode baseline.Mode, work *workload) (SystemResult, error) {
 	platform, err := standin.StartPlatform(0)
 	if err != nil {
-		return Figures{}, err
+		return SystemResult{}, err
 	}
 	defer platform.Stop()
 	platform.SetMachines(work.machines)
@@ -184,51 +185,51 @@
 	defer cancel()
 	server, err := baseline.Start(ctx, mode, platform.ListURL(), platformInterval)
 	if err != nil {
-		return Figures{}, err
+		return SystemResult{}, err
 	}
-	b := &baselineRun{options: options, mode: mode, work: work, platform: platform, server: server, count: &tally.Tally{}}
+	b := &baselineRun{options: options, mode: mode, work: work, platform: platform, server: server, byteTally: &tally.Tally{}}
 	return b.measure(ctx)
 }
 
-// baselineRun is one baseline under measurement.
+// baselineRun is the measurement of one baseline.
 type baselineRun struct {
-	options  ConvergeOptions
-	mode     baseline.Mode
-	work     *workload
-	platform *standin.Platform
-	server   *baseline.Server
-	count    *tally.Tally
-	recorder *convergence.Recorder
-	version  uint64
+	options   ConvergeOptions
+	mode      baseline.Mode
+	work      *workload
+	platform  *standin.Platform
+	server    *baseline.Server
+	byteTally *tally.Tally
+	recorder  *convergence.Recorder
+	version   uint64
 }
 
-func (b *baselineRun) measure(ctx context.Context) (Figures, error) {
+func (b *baselineRun) measure(ctx context.Context) (SystemResult, error) {
 	b.startNodes(ctx)
 	if err := b.change(changeBundle); err != nil {
-		return Figures{}, err
+		return SystemResult{}, err
 	}
 	if err := b.recorder.Await(convergeLimit); err != nil {
-		return Figures{}, err
+		return SystemResult{}, err
 	}
-	// The list's first reading must not count as a change.
+	// Exclude the first read of the machine list from the measurement.
 	time.Sleep(2 * platformInterval)
-	idleFrom := b.count.Read()
+	idleFrom := b.byteTally.Read()
 	time.Sleep(b.options.Idle)
-	from, platformFrom, started := b.count.Read(), b.platform.Bytes(), time.Now()
-	if err := b.options.repeat(b.recorder, func() error { return b.change(b.options.Change) }); err != nil {
-		return Figures{}, err
+	from, platformFrom, started := b.byteTally.Read(), b.platform.Bytes(), time.Now()
+	if err := b.options.makeChanges(b.recorder, func() error { return b.change(b.options.Change) }); err != nil {
+		return SystemResult{}, err
 	}
-	figures := Figures{
+	result := SystemResult{
 		System: string(b.mode), Convergence: b.recorder.Summary(), Seconds: time.Since(started).Seconds(),
-		NodeBytes: b.count.Read().Minus(from),
+		NodeBytes: b.byteTally.Read().Minus(from),
 	}
-	figures.divide(b.options.Proxies, b.options.Changes)
-	figures.IdleBytes = float64(from.Minus(idleFrom).Total()) / float64(b.options.Proxies) / b.options.Idle.Seconds()
-	figures.LinkBytes = map[string]int64{
+	result.setPerNodeBytes(b.options.Proxies, b.options.Changes)
+	result.IdleBytes = float64(from.Minus(idleFrom).Total()) / float64(b.options.Proxies) / b.options.Idle.Seconds()
+	result.LinkBytes = map[string]int64{
 		"platform-control": b.platform.Bytes() - platformFrom,
-		"server-node":      figures.NodeBytes.Total(),
+		"server-node":      result.NodeBytes.Total(),
 	}
-	return figures, nil
+	return result, nil
 }
 
 func (b *baselineRun) startNodes(ctx context.Context) {
@@ -239,7 +240,7 @@
 	b.recorder = convergence.NewRecorder(names)
 	for i, name := range names {
 		client := &baseline.Client{
-			Name: name, Address: b.server.Address(), Mode: b.mode, Tally: b.count, InForce: b.recorder.InForce,
+			Name: name, Address: b.server.Address(), Mode: b.mode, Tally: b.byteTally, InForce: b.recorder.InForce,
 			Period: b.options.Period, Phase: b.options.Period * time.Duration(i) / time.Duration(len(names)),
 		}
 		go func() { _ = client.Run(ctx) }()
--- a/pkg/bench/experiment/doc.go
+++ b/pkg/bench/experiment/doc.go
@@ -1,5 +1,5 @@
-// Package experiment measures the system: how long changes take to be in force, what
-// control traffic costs by link, and how both stand against plain baselines in the same
-// run. Control replicas and relays are real processes; most nodes are hollow ones that
-// share the bench's process.
+// Package experiment measures the convergence time of changes, the control traffic by
+// link and the latency and goodput of the data plane, and compares them with baselines in
+// the same run. Control replicas and relays are real processes. Most nodes of the
+// convergence experiment are hollow: they share the process of bramblebench.
 package experiment
--- a/pkg/bench/experiment/plot.go
+++ b/pkg/bench/experiment/plot.go
@@ -16,9 +16,9 @@
 	plotHeight = 11 * vg.Centimeter
 )
 
-// plotConvergence draws the share of nodes that have a change in force over time, one
-// line a system. The file's ending chooses the format, .png or .svg.
-func plotConvergence(path, title string, all []Figures) error {
+// plotConvergence draws the share of nodes that have a change in force over time, with one
+// line per system. The file extension, .png or .svg, selects the format.
+func plotConvergence(path, title string, all []SystemResult) error {
 	p := plot.New()
 	p.Title.Text = title
 	p.X.Label.Text = "time from the request to in force, ms"
--- a/pkg/bench/experiment/report.go
+++ b/pkg/bench/experiment/report.go
@@ -12,7 +12,7 @@
 	"bramblelift/pkg/version"
 )
 
-// Run names what was run, so that it can be run again.
+// Run holds the parameters needed to repeat an experiment.
 type Run struct {
 	Commit  string `json:"commit"`
 	Profile string `json:"profile"`
@@ -22,38 +22,39 @@
 	Changes int    `json:"changes,omitempty"`
 }
 
-// Figures are the measures of one way to distribute.
-type Figures struct {
+// SystemResult holds the measurements of one system, the product or a baseline.
+type SystemResult struct {
 	System      string              `json:"system"`
 	Convergence convergence.Summary `json:"convergence"`
-	// NodeBytes are the bytes that all nodes exchanged during the changes, by kind of
-	// frame.
+	// NodeBytes is the number of bytes that all nodes exchanged during the changes, by
+	// frame kind.
 	NodeBytes tally.Bytes `json:"node_bytes"`
-	// PerNode is the mean a node, PerNodeChange that divided by the changes.
+	// PerNode is the mean number of bytes per node; PerNodeChange is PerNode per change.
 	PerNode       float64 `json:"bytes_per_node"`
 	PerNodeChange float64 `json:"bytes_per_node_and_change"`
-	// LinkBytes are the bytes by link of the system.
+	// LinkBytes is the number of bytes by kind of link.
 	LinkBytes map[string]int64 `json:"link_bytes"`
-	// IdleBytes and IdleCPU are what an idle node costs a second, in bytes and as a
-	// share of a core; the latter only where real nodes run.
+	// IdleBytes is the number of bytes per second of an idle node. IdleCPU is its share of
+	// one core, measured only where real nodes run.
 	IdleBytes float64 `json:"idle_bytes_per_node_second"`
 	IdleCPU   float64 `json:"idle_node_core_share,omitempty"`
 	// NodeMemory is the largest resident size of a real node in bytes.
 	NodeMemory float64 `json:"node_memory_bytes,omitempty"`
-	Seconds    float64 `json:"seconds"`
+	// Seconds is the duration of the changes.
+	Seconds float64 `json:"seconds"`
 }
 
-func currentRun(profileName string, seed uint64, nodes int) Run {
+func newRun(profileName string, seed uint64, nodes int) Run {
 	return Run{Commit: version.Revision(), Profile: profileName, Seed: seed, Nodes: nodes}
 }
 
-func (f *Figures) divide(nodes, changes int) {
+func (f *SystemResult) setPerNodeBytes(nodes, changes int) {
 	f.PerNode = float64(f.NodeBytes.Total()) / float64(nodes)
 	f.PerNodeChange = f.PerNode / float64(changes)
 }
 
-// writeTable shows figures to people.
-func writeTable(out io.Writer, all []Figures) {
+// writeTable prints the results as a table, followed by byte counts for each system.
+func writeTable(out io.Writer, all []SystemResult) {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "system\tp50 ms\tp99 ms\tworst ms\tbytes/node\tbytes/node/change\tidle B/s/node\t")
 	for _, f := range all {
@@ -66,7 +67,7 @@
 	}
 }
 
-// listBytes prints counts in the order of their names.
+// listBytes formats counts as name=value pairs, sorted by name.
 func listBytes(counts map[string]int64) string {
 	text := ""
 	for _, name := range sortedKeys(counts) {
@@ -75,7 +76,7 @@
 	return text
 }
 
-// writeJSON writes a report to a file, "-" for the output.
+// writeJSON writes a report to the file at path, or to out if path is "-".
 func writeJSON(out io.Writer, path string, report any) error {
 	text, err := json.MarshalIndent(report, "", "  ")
 	if err != nil {
--- a/pkg/bench/experiment/system.go
+++ b/pkg/bench/experiment/system.go
@@ -21,23 +21,24 @@
 	cluster    = "experiment"
 	replicas   = 3
 	setupLimit = time.Minute
-	// convergeLimit ends an experiment whose change does not arrive.
+	// convergeLimit is the time after which a change that is not in force everywhere fails
+	// the experiment.
 	convergeLimit = 30 * time.Second
-	// nodePing and nodeSilence are a real node's defaults.
+	// nodePing and nodeSilence equal the defaults of a real node.
 	nodePing    = 2 * time.Second
 	nodeSilence = 5 * time.Second
 )
 
-// system is the product under measurement: real control replicas and relays, a few real
-// nodes for their cost, and many hollow ones for the timing.
+// system runs the product for a measurement: real control replicas and relays, a few real
+// nodes whose CPU and memory are measured, and many hollow nodes for convergence times.
 type system struct {
-	folder   string
-	platform *standin.Platform
-	fleet    *fleet.Fleet
-	swarm    *hollow.Swarm
-	recorder *convergence.Recorder
-	groupOf  map[string]string
-	work     *workload
+	folder      string
+	platform    *standin.Platform
+	fleet       *fleet.Fleet
+	hollowNodes *hollow.Swarm
+	recorder    *convergence.Recorder
+	groupOf     map[string]string
+	work        *workload
 }
 
 type systemSize struct {
@@ -81,23 +82,23 @@
 	if err := fleet.WaitReady(ctx, append(s.fleet.Controls, s.fleet.Relays...)); err != nil {
 		return err
 	}
-	if err := s.layOutSwarm(size.nodes); err != nil {
+	if err := s.createHollowNodes(size.nodes); err != nil {
 		return err
 	}
 	if _, _, err := s.fleet.Publish(ctx, s.work.text(s.work.timeout, s.work.secret)); err != nil {
 		return err
 	}
 	started := time.Now()
-	if err := s.swarm.Start(); err != nil {
+	if err := s.hollowNodes.Start(); err != nil {
 		return err
 	}
-	if err := s.swarm.AwaitCurrent(started, setupLimit); err != nil {
+	if err := s.hollowNodes.AwaitCurrent(started, setupLimit); err != nil {
 		return err
 	}
 	return fleet.WaitReady(ctx, s.fleet.Proxies)
 }
 
-func (s *system) layOutSwarm(count int) error {
+func (s *system) createHollowNodes(count int) error {
 	verifier, err := bundle.NewVerifier(cluster, []string{s.fleet.PublicKey()})
 	if err != nil {
 		return err
@@ -113,7 +114,7 @@
 	for _, relay := range s.fleet.Relays {
 		relays = append(relays, settings.Peer{Name: relay.Name, Address: relay.Address, Zone: relay.Zone})
 	}
-	s.swarm = hollow.NewSwarm(hollow.Config{
+	s.hollowNodes = hollow.NewSwarm(hollow.Config{
 		Cluster: cluster, Verifier: verifier, Relays: relays,
 		Timing:  settings.Timing{PingInterval: bundle.Duration(nodePing), SilenceTimeout: bundle.Duration(nodeSilence)},
 		InForce: s.recorder.InForce,
@@ -122,8 +123,8 @@
 }
 
 func (s *system) stop() {
-	if s.swarm != nil {
-		s.swarm.Stop()
+	if s.hollowNodes != nil {
+		s.hollowNodes.Stop()
 	}
 	if s.fleet != nil {
 		s.fleet.Kill()
@@ -134,7 +135,7 @@
 	os.RemoveAll(s.folder)
 }
 
-// change makes one change and starts to time it.
+// change makes one change and registers it with the recorder.
 func (s *system) change(kind string) error {
 	if kind == changeEndpoint {
 		change := s.work.restartMachine(s.groupOf)
@@ -149,14 +150,15 @@
 	if err != nil {
 		return err
 	}
-	// The roll itself is part of the time: it ends with the acceptance.
+	// The convergence time includes the rollout request, so the clock is read before it.
 	at := time.Now()
 	s.recorder.Begin(versionChange(number, at))
 	_, err = s.fleet.Roll(ctx, number)
 	return err
 }
 
-// usage is what a process has cost since its start.
+// usage holds the CPU time, the resident memory in bytes and the control bytes by link of
+// a process since its start.
 type usage struct {
 	cpuSeconds float64
 	memory     float64
@@ -180,28 +182,28 @@
 	read.cpuSeconds = cpu[""]
 	read.memory = memory[""]
 	for labels, value := range bytes {
-		read.links[linkOf(labels)] += value
+		read.links[linkLabel(labels)] += value
 	}
 	return read, nil
 }
 
-// linkOf takes the link out of a metric's labels.
-func linkOf(labels string) string {
+// linkLabel returns the value of the link label in the label text of a metric.
+func linkLabel(labels string) string {
 	_, rest, _ := strings.Cut(labels, `link="`)
 	link, _, _ := strings.Cut(rest, `"`)
 	return link
 }
 
-// roleUsage sums up the processes of one role.
+// roleUsage aggregates the usage of all processes of one role.
 type roleUsage struct {
 	count      int
 	cpuSeconds float64
-	// memory is that of the largest process.
+	// memory is the maximum over the processes; the other fields are sums.
 	memory float64
 	links  map[string]float64
 }
 
-func readRole(nodes []*fleet.Node) (roleUsage, error) {
+func readRoleUsage(nodes []*fleet.Node) (roleUsage, error) {
 	sum := roleUsage{count: len(nodes), links: map[string]float64{}}
 	for _, node := range nodes {
 		read, err := readUsage(node)
@@ -217,25 +219,25 @@
 	return sum, nil
 }
 
-// reading is a moment's sum of costs.
-type reading struct {
-	at       time.Time
-	control  roleUsage
-	relay    roleUsage
-	node     roleUsage
-	swarm    tally.Bytes
-	platform int64
+// costSample holds the resource usage of all processes at one time.
+type costSample struct {
+	at          time.Time
+	control     roleUsage
+	relay       roleUsage
+	node        roleUsage
+	hollowNodes tally.Bytes
+	platform    int64
 }
 
-func (s *system) read() (reading, error) {
-	r := reading{at: time.Now(), swarm: s.swarm.Tally.Read(), platform: s.platform.Bytes()}
+func (s *system) sampleCosts() (costSample, error) {
+	r := costSample{at: time.Now(), hollowNodes: s.hollowNodes.Tally.Read(), platform: s.platform.Bytes()}
 	var err error
-	if r.control, err = readRole(s.fleet.Controls); err != nil {
+	if r.control, err = readRoleUsage(s.fleet.Controls); err != nil {
 		return r, err
 	}
-	if r.relay, err = readRole(s.fleet.Relays); err != nil {
+	if r.relay, err = readRoleUsage(s.fleet.Relays); err != nil {
 		return r, err
 	}
-	r.node, err = readRole(s.fleet.Proxies)
+	r.node, err = readRoleUsage(s.fleet.Proxies)
 	return r, err
 }
--- a/pkg/bench/experiment/workload.go
+++ b/pkg/bench/experiment/workload.go
@@ -13,42 +13,43 @@
 	"bramblelift/pkg/distribution"
 )
 
-// Kinds of changes.
+// Kinds of changes, as given to the change flag.
 const (
 	changeEndpoint = "endpoint"
 	changeBundle   = "bundle"
 	changeSecret   = "secret"
 )
 
-// workload is what is distributed in an experiment, and how it changes. It is the same
-// for the product and for the baselines.
+// workload is the configuration that an experiment distributes and changes. It is the same
+// for the product and the baselines.
 type workload struct {
 	zones    []string
 	groups   []string
 	machines []standin.Machine
-	// users are the groups whose nodes need a service.
-	users map[string]map[string]bool
-	// text writes the bundle; the arguments vary a timeout and a secret.
+	// groupsByService holds, for each service, the node groups that need it.
+	groupsByService map[string]map[string]bool
+	// text returns the bundle file with the given timeout and secret.
 	text   func(timeoutMillis int, secret string) string
 	random *rand.Rand
-	// timeout and secret are what the next bundle says.
+	// timeout, in milliseconds, and secret are the values in the latest bundle.
 	timeout int
 	secret  string
 }
 
-const firstTimeoutMillis = 2000
+const initialTimeoutMillis = 2000
 
-// addressOf makes up an address; hollow nodes never call it.
-func addressOf(number int) string {
+// fakeAddress returns a distinct address for each number; hollow nodes never connect to it.
+func fakeAddress(number int) string {
 	return fmt.Sprintf("10.%d.%d.%d:8080", number>>16&255, number>>8&255, number&255)
 }
 
-// profileWorkload is one of the users' set-ups of today: every node needs everything.
-func profileWorkload(chosen profile.Profile, seed uint64) *workload {
-	w := &workload{zones: chosen.Zones, groups: []string{""}, users: map[string]map[string]bool{}, random: rand.New(rand.NewPCG(seed, 1)),
-		timeout: firstTimeoutMillis, secret: "credential-0"}
+// newProfileWorkload returns the workload of a profile, in which every node needs every
+// service.
+func newProfileWorkload(chosen profile.Profile, seed uint64) *workload {
+	w := &workload{zones: chosen.Zones, groups: []string{""}, groupsByService: map[string]map[string]bool{}, random: rand.New(rand.NewPCG(seed, 1)),
+		timeout: initialTimeoutMillis, secret: "credential-0"}
 	for _, service := range chosen.Services {
-		w.users[service.Name] = map[string]bool{"": true}
+		w.groupsByService[service.Name] = map[string]bool{"": true}
 		for i := range service.Backends {
 			w.addMachine(service.Name, i)
 		}
@@ -56,13 +57,13 @@
 	w.text = func(timeoutMillis int, secret string) string {
 		var text strings.Builder
 		for i, service := range chosen.Services {
-			timeout := firstTimeoutMillis
+			timeout := initialTimeoutMillis
 			if i == 0 {
 				timeout = timeoutMillis
 			}
 			writeService(&text, service.Name, chosen.Slots)
 			writeRoute(&text, service.Name+"-reads", service.Reads, service.Name, "credential", "", timeout, false)
-			writeRoute(&text, service.Name+"-writes", service.Writes, service.Name, "credential", "", firstTimeoutMillis, true)
+			writeRoute(&text, service.Name+"-writes", service.Writes, service.Name, "credential", "", initialTimeoutMillis, true)
 		}
 		writeSecret(&text, "credential", secret)
 		return text.String()
@@ -92,11 +93,11 @@
 func (w *workload) addMachine(service string, number int) {
 	w.machines = append(w.machines, standin.Machine{
 		Service: service, ID: fmt.Sprintf("%s-%d", service, number+1), Incarnation: 1,
-		Address: addressOf(len(w.machines)), Zone: w.zones[len(w.machines)%len(w.zones)],
+		Address: fakeAddress(len(w.machines)), Zone: w.zones[len(w.machines)%len(w.zones)],
 	})
 }
 
-// identities names nodes, spread over zones and groups.
+// identities returns the identities of hollow nodes, distributed over zones and groups.
 func (w *workload) identities(count int) []hollow.Identity {
 	var all []hollow.Identity
 	for i := range count {
@@ -107,24 +108,24 @@
 	return all
 }
 
-// restartMachine makes one machine come back under a new incarnation and returns the
-// change to time, for nodes of the given groups.
+// restartMachine gives a random machine a new incarnation and returns the change to
+// measure. groupOf maps node names to groups.
 func (w *workload) restartMachine(groupOf map[string]string) *convergence.Change {
 	machine := &w.machines[w.random.IntN(len(w.machines))]
 	machine.Incarnation++
-	wanted := *machine
+	restarted := *machine
 	return &convergence.Change{
-		Name: fmt.Sprintf("restart of %s", wanted.ID),
+		Name: fmt.Sprintf("restart of %s", restarted.ID),
 		Needs: func(node string) bool {
-			return w.users[wanted.Service][groupOf[node]]
+			return w.groupsByService[restarted.Service][groupOf[node]]
 		},
 		Matches: func(state *distribution.State) bool {
-			return state.Endpoints[wanted.Service][wanted.ID].Incarnation >= wanted.Incarnation
+			return state.Endpoints[restarted.Service][restarted.ID].Incarnation >= restarted.Incarnation
 		},
 	}
 }
 
-// nextBundle changes a route's timeout or a secret and returns the bundle's text.
+// nextBundle changes the secret or a route's timeout and returns the new bundle file.
 func (w *workload) nextBundle(kind string) string {
 	if kind == changeSecret {
 		w.secret = fmt.Sprintf("credential-%d", w.random.Uint32())
@@ -134,7 +135,8 @@
 	return w.text(w.timeout, w.secret)
 }
 
-// versionChange is the change to time when a version goes into force.
+// versionChange returns a change that matches once a version, requested at the given time,
+// is in force.
 func versionChange(version uint64, at time.Time) *convergence.Change {
 	return &convergence.Change{
 		Name: fmt.Sprintf("version %d", version), At: at,
