--- a/pkg/bench/faultnet/faultnet.go
+++ b/pkg/bench/faultnet/faultnet.go
@@ -1,6 +1,6 @@
-// Package faultnet puts a fault proxy before each link between processes, so that links
-// can be slowed and cut, one way or both, without a word to either end. The proxies run
-// in this process (library toxiproxy).
+// Package faultnet puts a fault proxy in front of each link between processes. Tests use
+// it to delay, reset or partition links without involving either end. The proxies are
+// toxiproxy instances that run in this process.
 package faultnet
 
 import (
@@ -15,21 +15,20 @@
 	"github.com/rs/zerolog"
 )
 
-// Link names the two ends of a connection.
+// Link identifies a connection by the process names of its two ends.
 type Link struct {
 	Client string
 	Server string
 }
 
-// Between matches the links that lead from one set of processes to the other, whoever
-// of the two opened them.
+// Between matches the links between two sets of processes, in either direction.
 func Between(isLeft, isRight func(name string) bool) func(Link) bool {
 	return func(l Link) bool {
 		return (isLeft(l.Client) && isRight(l.Server)) || (isRight(l.Client) && isLeft(l.Server))
 	}
 }
 
-// Names matches the given names.
+// Names returns a match function for the given process names.
 func Names(names ...string) func(string) bool {
 	return func(name string) bool {
 		for _, wanted := range names {
@@ -41,35 +40,36 @@
 	}
 }
 
-// Not inverts a match of names.
+// Not negates a match function.
 func Not(match func(string) bool) func(string) bool {
 	return func(name string) bool { return !match(name) }
 }
 
-// Streams of a link, as the library names them.
+// Directions of a link, in the terms of toxiproxy.
 const (
-	fromClient = "upstream"
-	fromServer = "downstream"
+	clientToServer = "upstream"
+	serverToClient = "downstream"
 )
 
-// Network holds the fault proxies. It is safe for concurrent use.
+// Network manages the fault proxies of all links. It is safe for concurrent use.
 type Network struct {
 	server *toxiproxy.ApiServer
 
-	mu      sync.Mutex
-	proxies map[Link]*toxiproxy.Proxy
-	cuts    map[Link][]string
+	mu           sync.Mutex
+	proxies      map[Link]*toxiproxy.Proxy
+	activeToxics map[Link][]string
 }
 
 // New returns a network without links.
 func New() *Network {
 	return &Network{
 		server:  toxiproxy.NewServer(toxiproxy.NewMetricsContainer(nil), zerolog.New(io.Discard)),
-		proxies: map[Link]*toxiproxy.Proxy{}, cuts: map[Link][]string{},
+		proxies: map[Link]*toxiproxy.Proxy{}, activeToxics: map[Link][]string{},
 	}
 }
 
-// Through opens a fault proxy before an address and returns where its client connects.
+// Through returns the address of a fault proxy between a client and the server at address.
+// It creates the proxy on the first call for this pair.
 func (n *Network) Through(client, server, address string) (string, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -85,10 +85,11 @@
 	return proxy.Listen, nil
 }
 
-// anyClient is the client of a link that everybody uses.
+// anyClient is the client name of a link that is shared by all clients.
 const anyClient = "any"
 
-// Before opens a fault proxy at an address, through which everybody reaches a server.
+// Before opens a fault proxy at the listen address that all clients share to reach the
+// server at address.
 func (n *Network) Before(server, listen, address string) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -106,7 +107,7 @@
 	return func(l Link) bool { return match(l.Server) }
 }
 
-// Delay adds a one-way delay to each direction of the links that match.
+// Delay adds a permanent delay to each direction of the matching links. Heal keeps it.
 func (n *Network) Delay(match func(Link) bool, delay time.Duration) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -114,8 +115,8 @@
 		if !match(link) {
 			continue
 		}
-		for _, stream := range []string{fromClient, fromServer} {
-			// The library counts in milliseconds; less than one is rounded up.
+		for _, stream := range []string{clientToServer, serverToClient} {
+			// Toxiproxy has millisecond resolution; shorter delays are rounded up to 1 ms.
 			millis := max(1, delay.Milliseconds())
 			text := fmt.Sprintf(`{"type":"latency","stream":%q,"attributes":{"latency":%d}}`, stream, millis)
 			if _, err := proxy.Toxics.AddToxicJson(strings.NewReader(text)); err != nil {
@@ -126,44 +127,45 @@
 	return nil
 }
 
-// Slow delays both directions of the links that match, each way, until Heal.
+// Slow adds a delay with jitter to each direction of the matching links until Heal.
 func (n *Network) Slow(match func(Link) bool, delay time.Duration) error {
 	attributes := fmt.Sprintf(`{"latency":%d,"jitter":%d}`, max(1, delay.Milliseconds()), delay.Milliseconds()/2)
-	return n.disturb(match, "latency", attributes, fromClient, fromServer)
+	return n.addToxics(match, "latency", attributes, clientToServer, serverToClient)
 }
 
-// Reset ends the connections of the links that match with a reset, new ones too, until Heal.
+// Reset closes existing and new connections on the matching links with a TCP reset until
+// Heal.
 func (n *Network) Reset(match func(Link) bool) error {
-	return n.disturb(match, "reset_peer", `{"timeout":0}`, fromClient, fromServer)
+	return n.addToxics(match, "reset_peer", `{"timeout":0}`, clientToServer, serverToClient)
 }
 
-// Cut silences the links that match in both directions: connections stay open and new
-// ones are accepted, but nothing comes through.
+// Cut blocks both directions of the matching links until Heal: connections stay open and
+// new ones are accepted, but no data passes.
 func (n *Network) Cut(match func(Link) bool) error {
-	return n.cut(match, fromClient, fromServer)
+	return n.cut(match, clientToServer, serverToClient)
 }
 
-// CutAnswers silences what servers send on the links that match: requests arrive, their
-// answers are lost.
+// CutAnswers blocks the data that servers send on the matching links until Heal: requests
+// arrive, but responses are lost.
 func (n *Network) CutAnswers(match func(Link) bool) error {
-	return n.cut(match, fromServer)
+	return n.cut(match, serverToClient)
 }
 
-// CutRequests silences what clients send on the links that match.
+// CutRequests blocks the data that clients send on the matching links until Heal.
 func (n *Network) CutRequests(match func(Link) bool) error {
-	return n.cut(match, fromClient)
+	return n.cut(match, clientToServer)
 }
 
 func (n *Network) cut(match func(Link) bool, streams ...string) error {
-	return n.disturb(match, "timeout", `{"timeout":0}`, streams...)
+	return n.addToxics(match, "timeout", `{"timeout":0}`, streams...)
 }
 
-// disturb adds a fault of the library to the links that match and have none.
-func (n *Network) disturb(match func(Link) bool, kind, attributes string, streams ...string) error {
+// addToxics adds a toxiproxy fault to the matching links that have none yet.
+func (n *Network) addToxics(match func(Link) bool, kind, attributes string, streams ...string) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for link, proxy := range n.proxies {
-		if !match(link) || len(n.cuts[link]) > 0 {
+		if !match(link) || len(n.activeToxics[link]) > 0 {
 			continue
 		}
 		for _, stream := range streams {
@@ -172,23 +174,24 @@
 			if _, err := proxy.Toxics.AddToxicJson(strings.NewReader(text)); err != nil {
 				return fmt.Errorf("disturb %s: %w", proxy.Name, err)
 			}
-			n.cuts[link] = append(n.cuts[link], name)
+			n.activeToxics[link] = append(n.activeToxics[link], name)
 		}
 	}
 	return nil
 }
 
-// Heal ends all cuts and other faults but Delay. Connections that were cut break, as they would after a long one.
+// Heal removes all faults except those of Delay. Connections on links that were cut are
+// closed.
 func (n *Network) Heal() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for link, names := range n.cuts {
+	for link, names := range n.activeToxics {
 		for _, name := range names {
 			if err := n.proxies[link].Toxics.RemoveToxic(context.Background(), name); err != nil {
 				return fmt.Errorf("heal %s: %w", n.proxies[link].Name, err)
 			}
 		}
-		delete(n.cuts, link)
+		delete(n.activeToxics, link)
 	}
 	return nil
 }
