--- a/pkg/bench/fleet/fleet.go
+++ b/pkg/bench/fleet/fleet.go
@@ -21,26 +21,26 @@
 
 // Config describes a fleet.
 type Config struct {
-	// Folder takes settings, data and logs; it is created.
+	// Folder is the directory for settings, data and logs. New creates it.
 	Folder   string
 	Cluster  string
 	Zones    []string
 	Replicas int
-	// Relays are spread over the zones.
+	// Relays is the number of relays, distributed over the zones.
 	Relays  int
 	Proxies int
-	// Groups are given to the proxies in turn; empty gives every proxy none.
+	// Groups are assigned to the proxies in rotation. If empty, proxies have no group.
 	Groups []string
 	// ProxyData gives each proxy a data folder.
 	ProxyData   bool
 	PlatformURL string
 	SourceURL   string
-	// Through, if set, may put a fault proxy before an address: it returns the
-	// address that clients of the named process should use.
+	// Through, if set, returns the address that the client uses to reach the server at
+	// address, for example that of a fault proxy.
 	Through func(client, server, address string) (string, error)
 }
 
-// Node is one proxy process with its addresses.
+// Node is a control replica, relay or proxy process with its addresses.
 type Node struct {
 	*Process
 	Zone    string
@@ -49,20 +49,21 @@
 	Admin   string
 }
 
-// Fleet is a running system.
+// Fleet is a system of control replicas, relays and proxies on this machine.
 type Fleet struct {
-	Config   Config
-	Controls []*Node
-	Relays   []*Node
-	Proxies  []*Node
-	KeyFile  string
-	key      ed25519.PrivateKey
-	public   string
-	binary   string
-	ports    *portAllocator
+	Config    Config
+	Controls  []*Node
+	Relays    []*Node
+	Proxies   []*Node
+	KeyFile   string
+	key       ed25519.PrivateKey
+	publicKey string
+	binary    string
+	ports     *portAllocator
 }
 
-// New lays out a fleet and writes its settings; Start runs it.
+// New assigns names and addresses, generates the approval key and writes the settings
+// files. Start starts the processes.
 func New(config Config) (*Fleet, error) {
 	binary, err := FindBinary()
 	if err != nil {
@@ -72,16 +73,16 @@
 		return nil, fmt.Errorf("create fleet folder: %w", err)
 	}
 	f := &Fleet{Config: config, binary: binary, ports: newPortAllocator(), KeyFile: filepath.Join(config.Folder, "approval.key")}
-	if f.public, err = bundle.GenerateKeyFile(f.KeyFile); err != nil {
+	if f.publicKey, err = bundle.GenerateKeyFile(f.KeyFile); err != nil {
 		return nil, err
 	}
 	if f.key, err = bundle.LoadKeyFile(f.KeyFile); err != nil {
 		return nil, err
 	}
-	return f, f.layOut()
+	return f, f.createNodes()
 }
 
-func (f *Fleet) layOut() error {
+func (f *Fleet) createNodes() error {
 	for i := range f.Config.Replicas {
 		if err := f.addNode(&f.Controls, fmt.Sprintf("control-%d", i+1), i); err != nil {
 			return err
@@ -120,10 +121,10 @@
 	return nil
 }
 
-func (f *Fleet) common(node *Node) settings.Common {
+func (f *Fleet) commonSettings(node *Node) settings.Common {
 	return settings.Common{
 		Cluster: f.Config.Cluster, Name: node.Name, Zone: node.Zone,
-		AdminListen: node.Admin, ApprovalKeys: []string{f.public},
+		AdminListen: node.Admin, ApprovalKeys: []string{f.publicKey},
 	}
 }
 
@@ -134,10 +135,10 @@
 			return err
 		}
 		config := settings.Control{
-			Common: f.common(node), Data: f.DataFolder(node.Name), Listen: node.Address, Replicas: peers,
+			Common: f.commonSettings(node), Data: f.DataFolder(node.Name), Listen: node.Address, Replicas: peers,
 			PlatformURL: f.Config.PlatformURL, SourceURL: f.Config.SourceURL,
 		}
-		if err := f.prepare(node, "control", config); err != nil {
+		if err := f.writeNodeSettings(node, "control", config); err != nil {
 			return err
 		}
 	}
@@ -146,31 +147,31 @@
 		if err != nil {
 			return err
 		}
-		if err := f.prepare(node, "relay", settings.Relay{Common: f.common(node), Listen: node.Address, Controls: peers}); err != nil {
+		if err := f.writeNodeSettings(node, "relay", settings.Relay{Common: f.commonSettings(node), Listen: node.Address, Controls: peers}); err != nil {
 			return err
 		}
 	}
 	for _, node := range f.Proxies {
-		if err := f.prepareProxy(node); err != nil {
+		if err := f.writeProxySettings(node); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (f *Fleet) prepareProxy(node *Node) error {
+func (f *Fleet) writeProxySettings(node *Node) error {
 	peers, err := f.peers(node, f.Relays)
 	if err != nil {
 		return err
 	}
-	config := settings.Proxy{Common: f.common(node), Group: node.Group, Listen: node.Address, Relays: peers}
+	config := settings.Proxy{Common: f.commonSettings(node), Group: node.Group, Listen: node.Address, Relays: peers}
 	if f.Config.ProxyData {
 		config.Data = f.DataFolder(node.Name)
 	}
-	return f.prepare(node, "proxy", config)
+	return f.writeNodeSettings(node, "proxy", config)
 }
 
-// peers lists servers as a client should reach them.
+// peers lists servers with the addresses that the client uses for them.
 func (f *Fleet) peers(client *Node, servers []*Node) ([]settings.Peer, error) {
 	var peers []settings.Peer
 	for _, server := range servers {
@@ -186,12 +187,12 @@
 	return peers, nil
 }
 
-// DataFolder returns where a process keeps its state.
+// DataFolder returns the directory for the persistent state of a process.
 func (f *Fleet) DataFolder(name string) string {
 	return filepath.Join(f.Config.Folder, "data", name)
 }
 
-func (f *Fleet) prepare(node *Node, role string, config any) error {
+func (f *Fleet) writeNodeSettings(node *Node, role string, config any) error {
 	text, err := toml.Marshal(config)
 	if err != nil {
 		return fmt.Errorf("settings of %s: %w", node.Name, err)
@@ -204,7 +205,7 @@
 	return nil
 }
 
-// Start creates the cluster and starts every process.
+// Start initializes the control replicas and starts every process.
 func (f *Fleet) Start() error {
 	for _, node := range f.Controls {
 		initialize := &Process{Name: node.Name + "-init", Log: node.Log, binary: f.binary, args: append(append([]string(nil), node.args...), "--init")}
@@ -223,7 +224,7 @@
 	return nil
 }
 
-// All returns every process.
+// All returns the control replicas, relays and proxies, in this order.
 func (f *Fleet) All() []*Node {
 	var all []*Node
 	all = append(all, f.Controls...)
@@ -231,7 +232,7 @@
 	return append(all, f.Proxies...)
 }
 
-// Kill ends every process that is still running.
+// Kill kills every process that is still running, frozen ones too.
 func (f *Fleet) Kill() {
 	for _, node := range f.All() {
 		if node.Running() {
@@ -241,13 +242,13 @@
 	}
 }
 
-// FreeAddress returns an address that nothing listens on.
+// FreeAddress returns an unused address of 127.0.0.1.
 func (f *Fleet) FreeAddress() (string, error) { return f.ports.address() }
 
-// PublicKey returns the key that approvals are checked by.
-func (f *Fleet) PublicKey() string { return f.public }
+// PublicKey returns the public key that verifies approvals.
+func (f *Fleet) PublicKey() string { return f.publicKey }
 
-// Operators returns the operators' addresses of the control replicas.
+// Operators returns the operator API addresses of the control replicas.
 func (f *Fleet) Operators() []string {
 	var addresses []string
 	for _, node := range f.Controls {
@@ -256,11 +257,11 @@
 	return addresses
 }
 
-// Client returns an operators' client for the fleet.
+// Client returns an operator API client for the control replicas.
 func (f *Fleet) Client() *operator.Client { return operator.NewClient(f.Operators()) }
 
-// Publish creates, approves and rolls a bundle; it returns the version and when the
-// roll was accepted.
+// Publish creates, approves and rolls out a bundle. It returns the version and the time at
+// which the rollout was accepted.
 func (f *Fleet) Publish(ctx context.Context, text string) (uint64, time.Time, error) {
 	number, err := f.Prepare(ctx, text)
 	if err != nil {
@@ -270,14 +271,14 @@
 	return number, accepted, err
 }
 
-// Prepare creates and approves a bundle.
+// Prepare creates and approves a bundle and returns its version.
 func (f *Fleet) Prepare(ctx context.Context, text string) (uint64, error) {
 	client := f.Client()
 	var list operator.VersionList
 	if err := client.Do(ctx, http.MethodGet, operator.PathVersions, nil, &list); err != nil {
 		return 0, fmt.Errorf("read head: %w", err)
 	}
-	var created operatorResult
+	var created versionResponse
 	request := operator.CreateRequest{OperationID: operator.NewOperationID(), ExpectedHead: &list.Head, TOML: text, FileName: "bundle.toml"}
 	if err := client.Do(ctx, http.MethodPost, operator.PathVersions, request, &created); err != nil {
 		return 0, fmt.Errorf("create: %w", err)
@@ -290,15 +291,15 @@
 	return created.Version.Version, nil
 }
 
-// operatorResult is the part of an operator's answer that the fleet needs.
-type operatorResult struct {
+// versionResponse is the part of an operator API response that the fleet uses.
+type versionResponse struct {
 	Version bundle.Manifest `json:"version"`
 }
 
-// Roll puts a version in force and returns when that was accepted.
+// Roll rolls out a version and returns the time at which the request was accepted.
 func (f *Fleet) Roll(ctx context.Context, number uint64) (time.Time, error) {
 	path := fmt.Sprintf("%s/%d/roll", operator.PathVersions, number)
-	var rolled operatorResult
+	var rolled versionResponse
 	err := f.Client().Do(ctx, http.MethodPost, path, operator.RollRequest{OperationID: operator.NewOperationID()}, &rolled)
 	if err != nil {
 		return time.Time{}, fmt.Errorf("roll: %w", err)
@@ -306,7 +307,7 @@
 	return time.Now(), nil
 }
 
-// Leader returns the control replica that leads.
+// Leader returns the control replica that reports itself as the leader.
 func (f *Fleet) Leader() (*Node, error) {
 	for _, node := range f.Controls {
 		var status struct {
@@ -316,10 +317,10 @@
 			return node, nil
 		}
 	}
-	return nil, errors.New("no control replica leads")
+	return nil, errors.New("no control replica reports itself as leader")
 }
 
-// Get reads a path of a process's administration service.
+// Get requests a path of the process's administration API and returns status and body.
 func (n *Node) Get(path string) (status int, body []byte, err error) {
 	client := &http.Client{Timeout: 2 * time.Second}
 	response, err := client.Get("http://" + n.Admin + path)
@@ -331,7 +332,7 @@
 	return response.StatusCode, body, err
 }
 
-// Status decodes a process's status page.
+// Status decodes the JSON status page of the process into target.
 func (n *Node) Status(target any) error {
 	code, body, err := n.Get("/status")
 	if err != nil {
@@ -343,13 +344,13 @@
 	return json.Unmarshal(body, target)
 }
 
-// Ready reports whether a process says it can do its job.
+// Ready reports whether the readiness check of the process succeeds.
 func (n *Node) Ready() bool {
 	code, _, err := n.Get("/ready")
 	return err == nil && code == http.StatusOK
 }
 
-// WaitReady waits until every given process is ready.
+// WaitReady waits until every given process is ready or the context ends.
 func WaitReady(ctx context.Context, nodes []*Node) error {
 	for _, node := range nodes {
 		for !node.Ready() {
--- a/pkg/bench/fleet/metrics.go
+++ b/pkg/bench/fleet/metrics.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// ControlBytes returns the bytes of control traffic that a process counted on its
-// connections, both ways.
+// ControlBytes returns the number of control-traffic bytes that a process has sent and
+// received, from its metrics.
 func ControlBytes(node *Node) (float64, error) {
 	samples, err := Metric(node, "bramblelift_control_bytes_total")
 	if err != nil {
@@ -20,7 +20,7 @@
 	return total, nil
 }
 
-// Metric returns the samples of one metric by their label text.
+// Metric returns the samples of one metric of a process, keyed by label text.
 func Metric(node *Node, name string) (map[string]float64, error) {
 	_, body, err := node.Get("/metrics")
 	if err != nil {
--- a/pkg/bench/fleet/process.go
+++ b/pkg/bench/fleet/process.go
@@ -1,4 +1,5 @@
-// Package fleet runs the system's real processes on this machine for demos and tests.
+// Package fleet runs the real processes of the system on one machine for demos,
+// experiments and tests.
 package fleet
 
 import (
@@ -13,10 +14,10 @@
 	"time"
 )
 
-// Process is one process of the system. It ends only what it started.
+// Process manages one operating-system process. It can be started again after it exits.
 type Process struct {
 	Name string
-	// Log is the file that takes what the process prints.
+	// Log is the path of the file that receives standard output and standard error.
 	Log    string
 	binary string
 	args   []string
@@ -27,12 +28,12 @@
 	err     error
 }
 
-// NewProcess describes a process that is not running yet.
+// NewProcess returns a process that is not started yet.
 func NewProcess(name, log, binary string, args ...string) *Process {
 	return &Process{Name: name, Log: log, binary: binary, args: args}
 }
 
-// Start runs the process; its log is appended to.
+// Start starts the process and appends its output to the log file.
 func (p *Process) Start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -44,7 +45,7 @@
 	command := exec.Command(p.binary, p.args...)
 	command.Stdout = log
 	command.Stderr = log
-	// A bench that is killed leaves no process behind.
+	// The kernel kills the process when its parent exits.
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := command.Start(); err != nil {
 		return fmt.Errorf("start %s: %w", p.Name, err)
@@ -71,22 +72,22 @@
 	return p.command.Process.Signal(signal)
 }
 
-// Freeze stops the process without ending it; Thaw lets it go on.
+// Freeze suspends the process with SIGSTOP.
 func (p *Process) Freeze() error { return p.Signal(syscall.SIGSTOP) }
 
-// Thaw lets a frozen process go on.
+// Thaw resumes a frozen process with SIGCONT.
 func (p *Process) Thaw() error { return p.Signal(syscall.SIGCONT) }
 
-// Kill ends the process at once and waits for it.
+// Kill kills the process with SIGKILL and waits for its exit.
 func (p *Process) Kill() {
 	_ = p.Signal(syscall.SIGKILL)
 	_ = p.Wait(10 * time.Second)
 }
 
-// errStillRunning: the process did not end in time.
+// errStillRunning is returned when a process has not exited within the timeout.
 var errStillRunning = errors.New("still running")
 
-// Stop asks the process to end and waits for it; the error is the process's own.
+// Stop sends SIGTERM and waits for the exit. It returns the exit error of the process.
 func (p *Process) Stop(timeout time.Duration) error {
 	if err := p.Signal(syscall.SIGTERM); err != nil {
 		return err
@@ -94,7 +95,8 @@
 	return p.Wait(timeout)
 }
 
-// Wait waits until the process has ended.
+// Wait waits for the exit and returns the exit error of the process. A process that was
+// never started returns nil.
 func (p *Process) Wait(timeout time.Duration) error {
 	p.mu.Lock()
 	done := p.done
@@ -128,13 +130,14 @@
 	}
 }
 
-// Ports below the range that the system gives to outgoing connections.
+// Port range below the usual ephemeral ports, to avoid conflicts with outgoing connections.
 const (
 	firstPort = 12000
 	lastPort  = 31000
 )
 
-// portAllocator hands out free ports of 127.0.0.1.
+// portAllocator finds free TCP ports of 127.0.0.1, starting at a port that depends on the
+// process ID.
 type portAllocator struct {
 	next int
 }
@@ -161,8 +164,8 @@
 	return "", errors.New("no free port")
 }
 
-// FindBinary returns the path of the bramblelift program: beside this program, or in
-// the folder named by BRAMBLELIFT_BIN.
+// FindBinary returns the path of the bramblelift program: in the directory BRAMBLELIFT_BIN
+// if set, else beside the running executable.
 func FindBinary() (string, error) {
 	folder := os.Getenv("BRAMBLELIFT_BIN")
 	if folder == "" {
