--- a/pkg/bench/history/history.go
+++ b/pkg/bench/history/history.go
@@ -1,5 +1,5 @@
-// Package history records what callers, back ends and nodes saw, for the checkers. It
-// knows nothing of the product's code.
+// Package history records calls, executions, departures and configuration versions for the
+// checkers. It is independent of the product's code.
 package history
 
 import (
@@ -7,50 +7,52 @@
 	"time"
 )
 
-// Call is one call as its caller saw it.
+// Call is one call as observed by its caller.
 type Call struct {
 	ID string
-	// Once calls must not run twice.
+	// Once marks a call that must not run more than once.
 	Once  bool
 	Start time.Time
 	End   time.Time
-	// Status is zero when the connection failed.
+	// Status is the HTTP status of the response, or zero if the call got none.
 	Status int
-	// Outcome is what a refusal said: "not-run", "unknown" or empty.
+	// Outcome is the Request-Outcome header of the response: "not-run", "unknown" or empty.
 	Outcome string
-	// Whole reports that the answer was whole and the call's own.
+	// Whole reports that the response is complete and belongs to this call.
 	Whole bool
-	// Foreign reports that the answer was another call's.
+	// Foreign reports that the response belongs to another call.
 	Foreign bool
-	Error   string
-	Node    string
+	// Error is the text of the client's error, if any.
+	Error string
+	// Node is the address of the node that was called.
+	Node string
 }
 
-// Answered reports whether the caller got an answer from a back end.
+// Answered reports whether a back end responded with status 200.
 func (c Call) Answered() bool { return c.Status == 200 }
 
-// Execution is one start of a call at a back end.
+// Execution records that a back end started to process a call.
 type Execution struct {
 	CallID  string
 	Backend string
 	Begun   time.Time
 }
 
-// Departure is when a back end began to leave.
+// Departure records the time at which a back end began to leave.
 type Departure struct {
 	Backend string
 	At      time.Time
 }
 
-// Sighting is a version seen in force at a node.
+// Sighting is an observation of the version in force at a node.
 type Sighting struct {
 	Node    string
 	Version uint64
 	At      time.Time
 }
 
-// History is everything that was recorded. It is safe for concurrent use; a nil one
-// records nothing.
+// History collects records. It is safe for concurrent use. The Add methods of a nil
+// History do nothing.
 type History struct {
 	mu         sync.Mutex
 	calls      []Call
@@ -59,7 +61,7 @@
 	sightings  []Sighting
 }
 
-// AddCall records a finished call.
+// AddCall records a completed call.
 func (h *History) AddCall(c Call) {
 	if h == nil {
 		return
@@ -69,7 +71,7 @@
 	h.calls = append(h.calls, c)
 }
 
-// AddExecution records that a back end began a call.
+// AddExecution records that a back end started to process a call.
 func (h *History) AddExecution(e Execution) {
 	if h == nil {
 		return
@@ -89,7 +91,7 @@
 	h.departures = append(h.departures, d)
 }
 
-// AddSighting records a version in force at a node.
+// AddSighting records an observed version of a node.
 func (h *History) AddSighting(s Sighting) {
 	if h == nil {
 		return
@@ -99,7 +101,7 @@
 	h.sightings = append(h.sightings, s)
 }
 
-// Records is a copy of a history.
+// Records is a snapshot of a history, in the order of recording.
 type Records struct {
 	Calls      []Call
 	Executions []Execution
@@ -107,7 +109,7 @@
 	Sightings  []Sighting
 }
 
-// Records copies what was recorded so far.
+// Records returns a snapshot of the history.
 func (h *History) Records() Records {
 	h.mu.Lock()
 	defer h.mu.Unlock()
