--- a/pkg/bench/experiment/system.go
+++ b/pkg/bench/experiment/system.go
@@ -35,7 +35,7 @@
 	folder      string
 	platform    *standin.Platform
 	fleet       *fleet.Fleet
-	hollowNodes *hollow.Swarm
+	hollowNodes *hollow.NodeSet
 	recorder    *convergence.Recorder
 	groupOf     map[string]string
 	work        *workload
@@ -114,7 +114,7 @@
 	for _, relay := range s.fleet.Relays {
 		relays = append(relays, settings.Peer{Name: relay.Name, Address: relay.Address, Zone: relay.Zone})
 	}
-	s.hollowNodes = hollow.NewSwarm(hollow.Config{
+	s.hollowNodes = hollow.NewNodeSet(hollow.Config{
 		Cluster: cluster, Verifier: verifier, Relays: relays,
 		Timing:  settings.Timing{PingInterval: bundle.Duration(nodePing), SilenceTimeout: bundle.Duration(nodeSilence)},
 		InForce: s.recorder.InForce,
--- a/pkg/bench/hollow/node.go
+++ b/pkg/bench/hollow/node.go
@@ -1,5 +1,5 @@
-// Package hollow runs many nodes in one process: the keeper and the subscription of a
-// real node over real connections, without the data plane for callers.
+// Package hollow runs many nodes in one process. A hollow node has the configuration
+// keeper and the subscription of a real node, over real connections, but no data plane.
 package hollow
 
 import (
@@ -22,33 +22,33 @@
 
 const dialTimeout = time.Second
 
-// Config is shared by the nodes of a swarm.
+// Config is the configuration shared by all nodes of a set.
 type Config struct {
 	Cluster  string
 	Verifier *bundle.Verifier
 	Relays   []settings.Peer
-	// Timing is that of a real node.
+	// Timing has the same meaning as in the settings of a real node.
 	Timing settings.Timing
-	// InForce is told each state that a node puts in force.
+	// InForce is called with each state that a node puts in force.
 	InForce func(node string, state *distribution.State)
 }
 
-// Identity names a node.
+// Identity holds the name, zone and group of a node.
 type Identity struct {
 	Name  string
 	Zone  string
 	Group string
 }
 
-// Node is one hollow node. It may be started again after a stop and then knows nothing
-// of its earlier life, like a node without a disk.
+// Node is one hollow node. It can be started again after a stop and then begins without
+// state, like a node without a data folder.
 type Node struct {
 	Identity
 	config Config
 	tally  *tally.Tally
 
 	mu sync.Mutex
-	// clock starts with each life, as a process's does.
+	// clock starts anew with each run, like the clock of a process.
 	clock   *clock.Clock
 	client  *stream.Client
 	cancel  context.CancelFunc
@@ -60,11 +60,11 @@
 	return &Node{Identity: identity, config: config, tally: count}
 }
 
-// Start begins a life of the node.
+// Start runs the node in the background until Stop.
 func (n *Node) Start() error {
-	started := clock.New()
+	runClock := clock.New()
 	keeper, err := proxy.NewKeeper(proxy.KeeperConfig{
-		Group: n.Group, Verifier: n.config.Verifier, InForce: n.inForce,
+		Group: n.Group, Verifier: n.config.Verifier, InForce: n.recordState,
 		OnFailure: func(error) {},
 	})
 	if err != nil {
@@ -80,7 +80,7 @@
 		DialTimeout:    dialTimeout,
 		Observe:        n.tally.Observe,
 		Logger:         log.NewNopLogger(),
-		Now:            started.Elapsed,
+		Now:            runClock.Elapsed,
 		OnConfirmed:    keeper.Confirmed,
 	}, keeper, stream.Candidates(n.Zone, n.config.Relays))
 	if err != nil {
@@ -89,7 +89,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	n.mu.Lock()
-	n.clock, n.client, n.cancel, n.done, n.serving = started, client, cancel, done, false
+	n.clock, n.client, n.cancel, n.done, n.serving = runClock, client, cancel, done, false
 	n.mu.Unlock()
 	go func() {
 		defer close(done)
@@ -98,21 +98,21 @@
 	return nil
 }
 
-func (n *Node) inForce(state *distribution.State) {
+func (n *Node) recordState(state *distribution.State) {
 	n.mu.Lock()
 	n.serving = true
 	n.mu.Unlock()
 	n.config.InForce(n.Name, state)
 }
 
-// Serving reports whether the node has a configuration in force in this life.
+// Serving reports whether the node has had a configuration in force since its last start.
 func (n *Node) Serving() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.serving
 }
 
-// Stop ends the node's life.
+// Stop disconnects the node and waits until its goroutine has exited.
 func (n *Node) Stop() {
 	n.mu.Lock()
 	cancel, done := n.cancel, n.done
@@ -121,11 +121,12 @@
 	<-done
 }
 
-// ConfirmedAfter reports whether the node is known to be current as of a moment.
+// ConfirmedAfter reports whether the node's state was confirmed as current after the given
+// time.
 func (n *Node) ConfirmedAfter(moment time.Time) bool {
 	n.mu.Lock()
-	client, started := n.client, n.clock
+	client, runClock := n.client, n.clock
 	n.mu.Unlock()
 	at, confirmed := client.ConfirmedAt()
-	return confirmed && time.Now().Add(at-started.Elapsed()).After(moment)
+	return confirmed && time.Now().Add(at-runClock.Elapsed()).After(moment)
 }
--- a/pkg/bench/hollow/node_set.go
+++ b/pkg/bench/hollow/node_set.go
@@ -8,24 +8,24 @@
 	"bramblelift/pkg/bench/tally"
 )
 
-// Swarm is many hollow nodes.
-type Swarm struct {
+// NodeSet is a set of hollow nodes that share a configuration.
+type NodeSet struct {
 	Nodes []*Node
-	// Tally counts what all of them exchange with relays.
+	// Tally counts the bytes that all nodes exchange with relays.
 	Tally *tally.Tally
 }
 
-// NewSwarm lays out nodes; Start runs them.
-func NewSwarm(config Config, identities []Identity) *Swarm {
-	s := &Swarm{Tally: &tally.Tally{}}
+// NewNodeSet creates one node per identity; Start runs them.
+func NewNodeSet(config Config, identities []Identity) *NodeSet {
+	s := &NodeSet{Tally: &tally.Tally{}}
 	for _, identity := range identities {
 		s.Nodes = append(s.Nodes, newNode(config, identity, s.Tally))
 	}
 	return s
 }
 
-// Start runs all nodes at once.
-func (s *Swarm) Start() error {
+// Start starts all nodes and returns the first error.
+func (s *NodeSet) Start() error {
 	for _, node := range s.Nodes {
 		if err := node.Start(); err != nil {
 			return err
@@ -34,8 +34,8 @@
 	return nil
 }
 
-// Stop ends all nodes.
-func (s *Swarm) Stop() {
+// Stop stops all nodes in parallel.
+func (s *NodeSet) Stop() {
 	var group sync.WaitGroup
 	for _, node := range s.Nodes {
 		group.Go(node.Stop)
@@ -43,33 +43,35 @@
 	group.Wait()
 }
 
-// AwaitCurrent waits until every node is known to be current as of a moment.
-func (s *Swarm) AwaitCurrent(moment time.Time, limit time.Duration) error {
+// AwaitCurrent waits until the state of every node has been confirmed as current after the
+// given time. It fails after the limit.
+func (s *NodeSet) AwaitCurrent(moment time.Time, limit time.Duration) error {
 	return s.await("current", limit, func(node *Node) bool { return node.ConfirmedAfter(moment) })
 }
 
-// AwaitServing waits until every node has a configuration in force.
-func (s *Swarm) AwaitServing(limit time.Duration) error {
+// AwaitServing waits until every node has a configuration in force. It fails after the
+// limit.
+func (s *NodeSet) AwaitServing(limit time.Duration) error {
 	return s.await("serving", limit, (*Node).Serving)
 }
 
-func (s *Swarm) await(what string, limit time.Duration, reached func(*Node) bool) error {
+func (s *NodeSet) await(what string, limit time.Duration, reached func(*Node) bool) error {
 	deadline := time.Now().Add(limit)
-	waiting := s.Nodes
+	pending := s.Nodes
 	for {
-		var still []*Node
-		for _, node := range waiting {
+		var remaining []*Node
+		for _, node := range pending {
 			if !reached(node) {
-				still = append(still, node)
+				remaining = append(remaining, node)
 			}
 		}
-		if len(still) == 0 {
+		if len(remaining) == 0 {
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("%d nodes, among them %s, are not %s after %s", len(still), still[0].Name, what, limit)
+			return fmt.Errorf("%d nodes, among them %s, are not %s after %s", len(remaining), remaining[0].Name, what, limit)
 		}
-		waiting = still
+		pending = remaining
 		time.Sleep(5 * time.Millisecond)
 	}
 }
