--- a/pkg/bench/load/load.go
+++ b/pkg/bench/load/load.go
@@ -1,5 +1,5 @@
-// Package load plays callers: it sends calls through nodes, checks each answer against
-// the only right one, and records how it ended.
+// Package load generates calls through nodes, verifies each response against the expected
+// body and records the outcome.
 package load
 
 import (
@@ -19,35 +19,40 @@
 	"bramblelift/pkg/bench/standin"
 )
 
-// Config describes a load.
+// Config configures a closed-loop load: each caller waits for a response before its next
+// call.
 type Config struct {
 	Services []profile.Service
-	// Nodes returns the addresses of the nodes to call.
+	// Nodes holds the addresses of the nodes to call.
 	Nodes []string
-	// Callers send one call after another, with Pause between.
+	// Callers is the number of concurrent callers.
 	Callers int
-	Pause   time.Duration
+	// Pause is the mean time between two calls of a caller.
+	Pause time.Duration
+	// Timeout limits each call.
 	Timeout time.Duration
-	Seed    uint64
+	// Seed determines the calls.
+	Seed uint64
 }
 
 const (
-	writeShare     = 0.3
-	maxAnswerBytes = 8 << 10
-	maxUploadBytes = 4 << 10
-	clientConns    = 256
+	writeShare       = 0.3
+	maxResponseBytes = 8 << 10
+	maxUploadBytes   = 4 << 10
+	maxIdleConns     = 256
 )
 
-// Run plays callers until the context ends.
+// Run sends calls until the context ends and adds them to the history. Calls in flight at
+// that time are completed.
 func Run(ctx context.Context, config Config, record *history.History) {
 	client := &http.Client{Timeout: config.Timeout, Transport: &http.Transport{
-		MaxIdleConnsPerHost: clientConns, DisableCompression: true,
+		MaxIdleConnsPerHost: maxIdleConns, DisableCompression: true,
 	}}
 	defer client.CloseIdleConnections()
 	var group sync.WaitGroup
 	for i := range config.Callers {
 		group.Go(func() {
-			c := &caller{config: config, client: client, record: record, number: i,
+			c := &caller{config: config, client: client, record: record, index: i,
 				random: rand.New(rand.NewPCG(config.Seed, uint64(i)))}
 			c.run(ctx)
 		})
@@ -60,13 +65,13 @@
 	client *http.Client
 	record *history.History
 	random *rand.Rand
-	number int
-	count  int
+	index  int
+	sent   int
 }
 
 func (c *caller) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		c.one()
+		c.sendCall()
 		pause := time.Duration((0.5 + c.random.Float64()) * float64(c.config.Pause))
 		select {
 		case <-ctx.Done():
@@ -75,14 +80,14 @@
 	}
 }
 
-// one sends a call and records its end. Calls under way when the load ends are let
-// finish, so that every history is whole.
-func (c *caller) one() {
-	c.count++
+// sendCall sends one random call and records it. It ignores the end of the load's context,
+// so that the history contains every call that was started.
+func (c *caller) sendCall() {
+	c.sent++
 	service := c.config.Services[c.random.IntN(len(c.config.Services))]
 	node := c.config.Nodes[c.random.IntN(len(c.config.Nodes))]
 	call := history.Call{
-		ID:   fmt.Sprintf("s%d-c%d-n%d", c.config.Seed, c.number, c.count),
+		ID:   fmt.Sprintf("s%d-c%d-n%d", c.config.Seed, c.index, c.sent),
 		Once: c.random.Float64() < writeShare,
 		Node: node,
 	}
@@ -92,11 +97,12 @@
 		method, path = http.MethodPost, service.Writes
 		upload = bytes.Repeat([]byte("x"), c.random.IntN(maxUploadBytes))
 	}
-	Send(c.client, method, "http://"+node+path+"/"+call.ID, upload, c.random.IntN(maxAnswerBytes)+1, &call)
+	Send(c.client, method, "http://"+node+path+"/"+call.ID, upload, c.random.IntN(maxResponseBytes)+1, &call)
 	c.record.AddCall(call)
 }
 
-// Send performs one call and fills in how it ended.
+// Send performs one call that asks for a response of the given length in bytes, and fills
+// in the outcome in call.
 func Send(client *http.Client, method, url string, upload []byte, length int, call *history.Call) {
 	call.Start = time.Now()
 	defer func() { call.End = time.Now() }()
@@ -106,7 +112,7 @@
 		return
 	}
 	if call.Once {
-		// The bench's own client must not repeat the call either.
+		// Without GetBody, the HTTP client cannot retry the call.
 		request.GetBody = nil
 		request.Body = io.NopCloser(bytes.NewReader(upload))
 	}
@@ -125,12 +131,12 @@
 		call.Error = err.Error()
 	}
 	if call.Answered() {
-		judge(call, body, length)
+		verifyBody(call, body, length)
 	}
 }
 
-// judge compares an answer with the only right one.
-func judge(call *history.Call, body []byte, length int) {
+// verifyBody compares a response body with the expected one and sets Whole and Foreign.
+func verifyBody(call *history.Call, body []byte, length int) {
 	want := standin.AnswerBody(call.ID, length)
 	call.Whole = bytes.Equal(body, want)
 	if !call.Whole && !strings.HasPrefix(string(want), string(body)) {
@@ -138,7 +144,7 @@
 	}
 }
 
-// Summary counts how calls ended.
+// Summary counts calls by outcome.
 type Summary struct {
 	Calls    int
 	Answered int
@@ -146,7 +152,7 @@
 	Failed   int
 }
 
-// Summarize counts the calls of a history.
+// Summarize counts the calls of a history by outcome.
 func Summarize(records history.Records) Summary {
 	var s Summary
 	for _, call := range records.Calls {
--- a/pkg/bench/load/open.go
+++ b/pkg/bench/load/open.go
@@ -11,12 +11,13 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// OpenConfig describes a load whose calls begin at random moments at a fixed rate,
-// whether or not earlier ones have ended.
+// OpenConfig configures an open-loop load: calls start at random times at a fixed mean
+// rate, independent of earlier calls.
 type OpenConfig struct {
-	// URLs are called in turn.
-	URLs     []string
-	Method   string
+	// URLs are called in rotation.
+	URLs   []string
+	Method string
+	// Rate is the mean number of calls per second.
 	Rate     float64
 	Duration time.Duration
 	Timeout  time.Duration
@@ -24,43 +25,44 @@
 	Seed     uint64
 }
 
-// OpenResult is how the calls of an open load ended.
+// OpenResult holds the outcomes and latencies of an open-loop load.
 type OpenResult struct {
 	Calls    int
 	Answered int
-	// Refused calls were answered by a node with an outcome.
+	// Refused counts responses other than 200 that have a Request-Outcome header.
 	Refused int
 	Failed  int
-	// Latency holds the answered calls in microseconds.
+	// Latency holds the latencies of answered calls in microseconds.
 	Latency *hdrhistogram.Histogram
-	// RefusalLatency holds the refused ones.
+	// RefusalLatency holds the latencies of refused calls in microseconds.
 	RefusalLatency *hdrhistogram.Histogram
 }
 
 const (
-	highestMicros   = int64(time.Minute / time.Microsecond)
-	histogramDigits = 3
-	openConnections = 1024
+	maxMicros         = int64(time.Minute / time.Microsecond)
+	significantDigits = 3
+	openMaxIdleConns  = 1024
 )
 
-// open is one open load under way.
-type open struct {
+// openLoad is the state of a running open-loop load.
+type openLoad struct {
 	config OpenConfig
 	client *http.Client
 	mu     sync.Mutex
 	result OpenResult
 }
 
-// RunOpen runs an open load to its end.
+// RunOpen runs an open-loop load until its duration or the context ends, and waits for the
+// calls in flight.
 func RunOpen(ctx context.Context, config OpenConfig) OpenResult {
-	o := &open{
+	o := &openLoad{
 		config: config,
 		client: &http.Client{Timeout: config.Timeout, Transport: &http.Transport{
-			MaxIdleConnsPerHost: openConnections, DisableCompression: true,
+			MaxIdleConnsPerHost: openMaxIdleConns, DisableCompression: true,
 		}},
 		result: OpenResult{
-			Latency:        hdrhistogram.New(1, highestMicros, histogramDigits),
-			RefusalLatency: hdrhistogram.New(1, highestMicros, histogramDigits),
+			Latency:        hdrhistogram.New(1, maxMicros, significantDigits),
+			RefusalLatency: hdrhistogram.New(1, maxMicros, significantDigits),
 		},
 	}
 	defer o.client.CloseIdleConnections()
@@ -70,19 +72,20 @@
 	var group sync.WaitGroup
 	for number := 0; ctx.Err() == nil && next.Before(end); number++ {
 		time.Sleep(time.Until(next))
-		due, url := next, config.URLs[number%len(config.URLs)]
-		group.Go(func() { o.call(ctx, due, url) })
+		scheduled, url := next, config.URLs[number%len(config.URLs)]
+		group.Go(func() { o.call(ctx, scheduled, url) })
 		next = next.Add(time.Duration(random.ExpFloat64() / config.Rate * float64(time.Second)))
 	}
 	group.Wait()
 	return o.result
 }
 
-// call is timed from when it was due, so that a generator that falls behind shows.
-func (o *open) call(ctx context.Context, due time.Time, url string) {
+// call sends one call. Its latency counts from the scheduled start, so that it includes the
+// delay of a generator that falls behind.
+func (o *openLoad) call(ctx context.Context, scheduled time.Time, url string) {
 	request, err := http.NewRequestWithContext(ctx, o.config.Method, url, nil)
 	if err != nil {
-		o.end(due, 0, "", err)
+		o.recordOutcome(scheduled, 0, "", err)
 		return
 	}
 	for name, values := range o.config.Header {
@@ -90,16 +93,16 @@
 	}
 	response, err := o.client.Do(request)
 	if err != nil {
-		o.end(due, 0, "", err)
+		o.recordOutcome(scheduled, 0, "", err)
 		return
 	}
 	defer response.Body.Close()
 	_, err = io.Copy(io.Discard, response.Body)
-	o.end(due, response.StatusCode, response.Header.Get("Request-Outcome"), err)
+	o.recordOutcome(scheduled, response.StatusCode, response.Header.Get("Request-Outcome"), err)
 }
 
-func (o *open) end(due time.Time, status int, outcome string, err error) {
-	micros := max(1, time.Since(due).Microseconds())
+func (o *openLoad) recordOutcome(scheduled time.Time, status int, outcome string, err error) {
+	micros := max(1, time.Since(scheduled).Microseconds())
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.result.Calls++
