--- a/pkg/bench/profile/bundle.go
+++ b/pkg/bench/profile/bundle.go
@@ -8,8 +8,8 @@
 	"bramblelift/pkg/bench/standin"
 )
 
-// BundleText writes the profile's bundle file. The back ends themselves come from the
-// platform's list. credential is the value of the one secret.
+// BundleText returns the bundle file of the profile, with credential as the value of its
+// only secret. It lists no back ends, because they come from the platform's machine list.
 func (p Profile) BundleText(credential string) string {
 	var text strings.Builder
 	for _, service := range p.Services {
@@ -23,12 +23,13 @@
 	return text.String()
 }
 
-// Backends are the running back ends of a profile.
+// Backends holds the running back ends of a profile.
 type Backends struct {
 	All []*standin.Backend
 }
 
-// StartBackends starts the profile's back ends, spread over its zones.
+// StartBackends starts the back ends of the profile, distributed over its zones. They
+// record their executions in the given history.
 func (p Profile) StartBackends(record *history.History) (*Backends, error) {
 	running := &Backends{}
 	for _, service := range p.Services {
@@ -48,7 +49,7 @@
 	return running, nil
 }
 
-// Machines lists the back ends as the platform would.
+// Machines returns the machine list of the back ends, as the platform serves it.
 func (b *Backends) Machines() []standin.Machine {
 	var machines []standin.Machine
 	for _, backend := range b.All {
@@ -60,7 +61,7 @@
 	return machines
 }
 
-// Stop ends the back ends.
+// Stop stops all back ends.
 func (b *Backends) Stop() {
 	for _, backend := range b.All {
 		backend.Stop()
--- a/pkg/bench/profile/profile.go
+++ b/pkg/bench/profile/profile.go
@@ -1,4 +1,4 @@
-// Package profile holds the users' set-ups as the bench plays them.
+// Package profile defines the deployments that demos, experiments and simulations use.
 package profile
 
 import (
@@ -8,29 +8,36 @@
 
 // Service is one service of a profile.
 type Service struct {
-	Name     string
+	Name string
+	// Backends is the number of back ends.
 	Backends int
 	// Reads and Writes are path prefixes; writes must run at most once.
 	Reads  string
 	Writes string
-	Work   time.Duration
+	// Work is the processing time of a call.
+	Work time.Duration
 }
 
-// Profile is one user's set-up.
+// Profile describes the zones, latencies, services and back ends of one deployment.
 type Profile struct {
 	Name  string
 	Zones []string
-	// ZoneLatency and ClientLatency are one-way.
-	ZoneLatency   time.Duration
+	// ZoneLatency is the one-way latency between zones.
+	ZoneLatency time.Duration
+	// ClientLatency is the one-way latency between callers and nodes.
 	ClientLatency time.Duration
 	Services      []Service
-	Slots         int
-	Connections   int
-	ConnectCost   time.Duration
-	ProbeCost     time.Duration
+	// Slots is the number of calls that a back end processes concurrently.
+	Slots int
+	// Connections is the number of connections that a back end supports.
+	Connections int
+	// ConnectCost is the time that a back end spends on accepting a connection.
+	ConnectCost time.Duration
+	// ProbeCost is the time that a health probe takes at a back end.
+	ProbeCost time.Duration
 }
 
-// Sizes that both users share.
+// Back-end parameters shared by all profiles.
 const (
 	slots       = 6
 	connections = 130
@@ -59,7 +66,7 @@
 	},
 }
 
-// Find returns the named profile.
+// Find returns the profile with the given name, or an error that lists the known names.
 func Find(name string) (Profile, error) {
 	for _, p := range profiles {
 		if p.Name == name {
