--- a/pkg/bench/standin/backend.go
+++ b/pkg/bench/standin/backend.go
@@ -1,5 +1,5 @@
-// Package standin holds what the system meets but does not own: back ends, the
-// platform's list of machines and the configuration source.
+// Package standin simulates the external parts of a deployment: back ends, the platform's
+// machine list and the configuration source.
 package standin
 
 import (
@@ -16,40 +16,41 @@
 	"bramblelift/pkg/bench/history"
 )
 
-// Headers that callers and back ends of the bench use among themselves.
+// Request headers with which callers of the test tools control a simulated back end.
 const (
-	// HeaderCallID names a call in the histories.
+	// HeaderCallID identifies a call in histories.
 	HeaderCallID = "Call-Id"
-	// HeaderWantBytes is how long the answer must be.
+	// HeaderWantBytes is the requested length of the response body in bytes.
 	HeaderWantBytes = "Want-Bytes"
-	// HeaderWorkMillis asks for a call that takes that long.
+	// HeaderWorkMillis overrides the processing time of the call, in milliseconds.
 	HeaderWorkMillis = "Work-Millis"
 )
 
-// BackendConfig describes a back end.
+// BackendConfig configures a simulated back end.
 type BackendConfig struct {
-	// Listen is where it listens; empty for a free port of 127.0.0.1.
+	// Listen is the address to listen on. If empty, a free port of 127.0.0.1 is used.
 	Listen  string
 	Name    string
 	Service string
 	Zone    string
-	// Slots is how many calls it works on at a time; more are declined.
+	// Slots is the number of calls processed concurrently; further calls are declined.
 	Slots int
-	// Connections is how many connections it keeps.
+	// Connections is the number of connections that the back end supports. It is not
+	// enforced.
 	Connections int
-	// ConnectCost is added to each new connection.
+	// ConnectCost is the delay of accepting a connection.
 	ConnectCost time.Duration
-	// Work is how long a call takes.
+	// Work is the processing time of a call.
 	Work time.Duration
-	// ColdFor is how long after its start calls take three times as long.
+	// ColdFor is the time after the start during which calls take three times as long.
 	ColdFor time.Duration
-	// LoadLag is how old the reported load is.
+	// LoadLag is the update period of the reported load; zero disables updates.
 	LoadLag time.Duration
-	// Lies makes the reported load nonsense.
+	// Lies makes the back end report an inverted load.
 	Lies bool
 }
 
-// Backend is one running back end.
+// Backend is a running simulated back end.
 type Backend struct {
 	Config   BackendConfig
 	history  *history.History
@@ -57,32 +58,33 @@
 	listener net.Listener
 	started  time.Time
 
-	busy        atomic.Int64
-	connections atomic.Int64
-	draining    atomic.Bool
-	reported    atomic.Int64
+	inFlight         atomic.Int64
+	connections      atomic.Int64
+	draining         atomic.Bool
+	reportedInFlight atomic.Int64
 
-	// Fault, if set, may end a call by force: it is asked before the call begins,
-	// before and in the middle of the answer.
-	mu    sync.Mutex
+	mu sync.Mutex
+	// fault, if set, is called at each stage of a call and reports whether to abort its
+	// connection.
 	fault func(callID string, stage Stage) bool
 
 	stop context.CancelFunc
 }
 
-// Stage is a point in a call's life at which a back end may die.
+// Stage is a point of call processing at which a crash can be injected.
 type Stage int
 
 const (
-	// BeforeWork is after the call arrived and before it counts as begun.
+	// BeforeWork is after the call is received and before processing starts.
 	BeforeWork Stage = iota
-	// BeforeAnswer is after the work and before the first byte of the answer.
+	// BeforeAnswer is after processing and before the first byte of the response.
 	BeforeAnswer
-	// InAnswer is after half of the answer.
+	// InAnswer is after half of the response body.
 	InAnswer
 )
 
-// StartBackend starts a back end.
+// StartBackend starts a back end that records its executions in the given history, which
+// may be nil.
 func StartBackend(config BackendConfig, record *history.History) (*Backend, error) {
 	if config.Listen == "" {
 		config.Listen = "127.0.0.1:0"
@@ -94,34 +96,36 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	b := &Backend{Config: config, history: record, listener: listener, started: time.Now(), stop: cancel}
 	b.server = &http.Server{Handler: b, ConnState: b.countConnection}
-	go func() { _ = b.server.Serve(&costlyListener{Listener: listener, cost: config.ConnectCost}) }()
+	go func() { _ = b.server.Serve(&slowListener{Listener: listener, delay: config.ConnectCost}) }()
 	go b.reportLoad(ctx)
 	return b, nil
 }
 
-// Address returns where the back end listens.
+// Address returns the host:port that the back end listens on.
 func (b *Backend) Address() string { return b.listener.Addr().String() }
 
-// SetFault makes calls end by force where fault says so.
+// SetFault sets the function that selects the calls and stages at which the connection is
+// aborted. It must be safe for concurrent use.
 func (b *Backend) SetFault(fault func(callID string, stage Stage) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.fault = fault
 }
 
-// Drain makes the back end finish what it has and say that it leaves.
+// Drain makes the back end decline new calls and announce its departure in its responses.
+// Calls in flight are completed.
 func (b *Backend) Drain() {
 	b.history.AddDeparture(history.Departure{Backend: b.Config.Name, At: time.Now()})
 	b.draining.Store(true)
 }
 
-// DrainSilently records the departure without saying so to callers: only the
-// platform's list tells.
+// DrainSilently records the departure in the history but does not announce it to callers.
+// Only the platform's machine list shows it.
 func (b *Backend) DrainSilently() {
 	b.history.AddDeparture(history.Departure{Backend: b.Config.Name, At: time.Now()})
 }
 
-// Stop ends the back end at once, as a crash would.
+// Stop closes the listener and all connections immediately, like a crash.
 func (b *Backend) Stop() {
 	b.stop()
 	_ = b.server.Close()
@@ -136,7 +140,7 @@
 	}
 }
 
-// Connections returns how many connections are open.
+// Connections returns the number of open connections.
 func (b *Backend) Connections() int64 { return b.connections.Load() }
 
 func (b *Backend) reportLoad(ctx context.Context) {
@@ -150,30 +154,30 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			b.reported.Store(b.busy.Load())
+			b.reportedInFlight.Store(b.inFlight.Load())
 		}
 	}
 }
 
-// ServeHTTP works on one call.
+// ServeHTTP processes one call, or declines it if no slot is free or the back end drains.
 func (b *Backend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(HeaderCallID)
 	if b.draining.Load() {
 		w.Header().Set("Backend-Draining", "1")
 	}
-	if b.busy.Add(1) > int64(b.Config.Slots) || b.draining.Load() {
-		b.busy.Add(-1)
+	if b.inFlight.Add(1) > int64(b.Config.Slots) || b.draining.Load() {
+		b.inFlight.Add(-1)
 		decline(w)
 		return
 	}
-	defer b.busy.Add(-1)
-	b.dieIf(id, BeforeWork)
+	defer b.inFlight.Add(-1)
+	b.crashIf(id, BeforeWork)
 	b.history.AddExecution(history.Execution{CallID: id, Backend: b.Config.Name, Begun: time.Now()})
 	if !b.work(r) {
 		return
 	}
-	b.dieIf(id, BeforeAnswer)
-	b.answer(w, r, id)
+	b.crashIf(id, BeforeAnswer)
+	b.respond(w, r, id)
 }
 
 func decline(w http.ResponseWriter) {
@@ -182,8 +186,8 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// dieIf breaks the connection as a dying process would.
-func (b *Backend) dieIf(id string, stage Stage) {
+// crashIf aborts the connection, like a crash, if the fault function selects this stage.
+func (b *Backend) crashIf(id string, stage Stage) {
 	b.mu.Lock()
 	fault := b.fault
 	b.mu.Unlock()
@@ -192,7 +196,8 @@
 	}
 }
 
-// work takes the call's time; it ends early when the caller leaves.
+// work waits for the processing time of the call. It returns false if the caller
+// disconnects first.
 func (b *Backend) work(r *http.Request) bool {
 	duration := b.Config.Work
 	if millis, err := strconv.Atoi(r.Header.Get(HeaderWorkMillis)); err == nil {
@@ -214,14 +219,14 @@
 	}
 }
 
-func (b *Backend) answer(w http.ResponseWriter, r *http.Request, id string) {
+func (b *Backend) respond(w http.ResponseWriter, r *http.Request, id string) {
 	length, err := strconv.Atoi(r.Header.Get(HeaderWantBytes))
 	if err != nil {
 		length = len(id) + 1
 	}
 	body := AnswerBody(id, length)
 	if id == "" {
-		// Somebody tries things out by hand.
+		// A call without an ID comes from a person, for example with curl.
 		body = fmt.Appendf(nil, "%s answers %s %s\n", b.Config.Name, r.Method, r.URL.Path)
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
@@ -232,41 +237,42 @@
 		return
 	}
 	b.mu.Lock()
-	faulty := b.fault != nil
+	hasFault := b.fault != nil
 	b.mu.Unlock()
-	if faulty {
+	if hasFault {
 		_ = http.NewResponseController(w).Flush()
-		b.dieIf(id, InAnswer)
+		b.crashIf(id, InAnswer)
 	}
 	_, _ = w.Write(body[half:])
 }
 
 func (b *Backend) loadReport() string {
-	load := float64(b.reported.Load()) / float64(max(b.Config.Slots, 1))
+	load := float64(b.reportedInFlight.Load()) / float64(max(b.Config.Slots, 1))
 	if b.Config.Lies {
 		load = 1 - min(load, 1)
 	}
 	return strconv.FormatFloat(min(load, 1), 'f', 2, 64)
 }
 
-// AnswerBody is the only right answer to a call: its ID over and over, cut to length.
+// AnswerBody returns the expected response body of a call: its ID, repeated and truncated
+// to length bytes.
 func AnswerBody(id string, length int) []byte {
 	text := id + ";"
 	return []byte(strings.Repeat(text, length/len(text)+1)[:length])
 }
 
-// costlyListener makes each new connection cost time, as accepting does on real
-// back ends.
-type costlyListener struct {
+// slowListener delays each accepted connection, to simulate the cost of new connections on
+// real back ends.
+type slowListener struct {
 	net.Listener
-	cost time.Duration
+	delay time.Duration
 }
 
-// Accept implements net.Listener.
-func (l *costlyListener) Accept() (net.Conn, error) {
+// Accept waits for a connection and then for the delay.
+func (l *slowListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
-	if err == nil && l.cost > 0 {
-		time.Sleep(l.cost)
+	if err == nil && l.delay > 0 {
+		time.Sleep(l.delay)
 	}
 	return conn, err
 }
--- a/pkg/bench/standin/platform.go
+++ b/pkg/bench/standin/platform.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Machine is one entry of the platform's list.
+// Machine is one entry of the platform's machine list.
 type Machine struct {
 	Service     string `json:"service"`
 	ID          string `json:"id"`
@@ -19,27 +19,29 @@
 	Leaving     bool   `json:"leaving"`
 }
 
-// Platform serves the list of machines and the bundles of the configuration source.
+// Platform simulates the platform API: it serves the machine list and the bundle files of
+// the configuration source.
 type Platform struct {
 	listener net.Listener
 	server   *http.Server
 
 	mu sync.Mutex
-	// lag is how old the served list is.
-	lag      time.Duration
-	versions []timedList
-	bundles  map[string]string
-	down     bool
-	reads    int
-	bytes    int64
+	// lag is the delay after which a new list is served.
+	lag     time.Duration
+	lists   []publishedList
+	bundles map[string]string
+	down    bool
+	reads   int
+	bytes   int64
 }
 
-type timedList struct {
+type publishedList struct {
 	at       time.Time
 	machines []Machine
 }
 
-// StartPlatform starts the stand-in on a free port of 127.0.0.1.
+// StartPlatform starts the platform API on a free port of 127.0.0.1. It serves each machine
+// list after the given lag.
 func StartPlatform(lag time.Duration) (*Platform, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -54,58 +56,58 @@
 	return p, nil
 }
 
-// ListURL returns where the list is served.
+// ListURL returns the URL of the machine list.
 func (p *Platform) ListURL() string { return "http://" + p.listener.Addr().String() + "/machines" }
 
-// SourceURL returns where bundles are served.
+// SourceURL returns the base URL of the bundle files.
 func (p *Platform) SourceURL() string { return "http://" + p.listener.Addr().String() + "/bundles" }
 
-// SetMachines replaces the list; readers see it after the lag.
+// SetMachines replaces the machine list; readers see it after the lag.
 func (p *Platform) SetMachines(machines []Machine) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.versions = append(p.versions, timedList{at: time.Now(), machines: append([]Machine(nil), machines...)})
+	p.lists = append(p.lists, publishedList{at: time.Now(), machines: append([]Machine(nil), machines...)})
 }
 
-// SetBundle puts a bundle file into the configuration source.
+// SetBundle adds or replaces a bundle file in the configuration source.
 func (p *Platform) SetBundle(name, text string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.bundles[name] = text
 }
 
-// SetDown makes every read fail, or work again.
+// SetDown sets whether every request fails with status 503.
 func (p *Platform) SetDown(down bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.down = down
 }
 
-// Reads returns how many reads there were.
+// Reads returns the number of requests for the machine list and for bundles.
 func (p *Platform) Reads() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.reads
 }
 
-// Bytes returns how many bytes of lists were served.
+// Bytes returns the number of machine-list bytes served.
 func (p *Platform) Bytes() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.bytes
 }
 
-// Stop ends the stand-in.
+// Stop closes the listener and all connections.
 func (p *Platform) Stop() { _ = p.server.Close() }
 
 func (p *Platform) serveMachines(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	p.reads++
 	down := p.down
-	machines, number := []Machine{}, 0
-	for i, version := range p.versions {
-		if time.Since(version.at) >= p.lag {
-			machines, number = version.machines, i+1
+	machines, revision := []Machine{}, 0
+	for i, list := range p.lists {
+		if time.Since(list.at) >= p.lag {
+			machines, revision = list.machines, i+1
 		}
 	}
 	p.mu.Unlock()
@@ -113,9 +115,9 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	tag := fmt.Sprintf("%q", fmt.Sprint("list-", number))
-	w.Header().Set("ETag", tag)
-	if r.Header.Get("If-None-Match") == tag {
+	etag := fmt.Sprintf("%q", fmt.Sprint("list-", revision))
+	w.Header().Set("ETag", etag)
+	if r.Header.Get("If-None-Match") == etag {
 		w.WriteHeader(http.StatusNotModified)
 		return
 	}
