--- a/pkg/bench/tally/tally.go
+++ b/pkg/bench/tally/tally.go
@@ -1,4 +1,4 @@
-// Package tally counts bytes of control traffic by kind of frame.
+// Package tally counts bytes of control traffic by frame kind.
 package tally
 
 import (
@@ -8,32 +8,32 @@
 	"bramblelift/pkg/wire"
 )
 
-// Tally counts the bytes of frames, both ways. The zero value is ready; it is safe for
-// concurrent use.
+// Tally counts the bytes of sent and received frames. The zero value is ready to use. It is
+// safe for concurrent use.
 type Tally struct {
 	bytes [256]atomic.Int64
 }
 
-// Observe counts a frame; it is a wire.Observer.
+// Observe counts one frame. It has the signature of wire.Observer.
 func (t *Tally) Observe(kind wire.Kind, _ wire.Direction, size int) {
 	t.bytes[kind].Add(int64(size))
 }
 
-// Bytes maps the name of a kind of frame to a number of bytes.
+// Bytes maps the name of a frame kind to a number of bytes.
 type Bytes map[string]int64
 
-// Read returns what was counted so far.
+// Read returns the bytes counted so far, without kinds that were not seen.
 func (t *Tally) Read() Bytes {
-	read := Bytes{}
+	counts := Bytes{}
 	for kind := range t.bytes {
 		if count := t.bytes[kind].Load(); count > 0 {
-			read[protocol.KindName(wire.Kind(kind))] += count
+			counts[protocol.KindName(wire.Kind(kind))] += count
 		}
 	}
-	return read
+	return counts
 }
 
-// Total returns the sum over all kinds.
+// Total returns the sum over all frame kinds.
 func (b Bytes) Total() int64 {
 	var total int64
 	for _, count := range b {
@@ -42,7 +42,7 @@
 	return total
 }
 
-// Minus returns what was counted since an earlier reading.
+// Minus returns the bytes counted since an earlier reading, without unchanged kinds.
 func (b Bytes) Minus(earlier Bytes) Bytes {
 	difference := Bytes{}
 	for kind, count := range b {
