--- a/pkg/bench/check/check.go
+++ b/pkg/bench/check/check.go
@@ -88,13 +88,13 @@
 // Departures checks that a back end started no call later than bound after its departure
 // began.
 func Departures(records history.Records, bound time.Duration) []Violation {
-	left := map[string]time.Time{}
+	departed := map[string]time.Time{}
 	for _, departure := range records.Departures {
-		left[departure.Backend] = departure.At
+		departed[departure.Backend] = departure.At
 	}
 	var found []Violation
 	for _, execution := range records.Executions {
-		at, leaving := left[execution.Backend]
+		at, leaving := departed[execution.Backend]
 		if leaving && execution.Begun.After(at.Add(bound)) {
 			late := execution.Begun.Sub(at).Round(time.Millisecond)
 			found = append(found, Violation{InvariantDeparture, fmt.Sprintf("call %s began at %s %s after it began to leave", execution.CallID, execution.Backend, late)})
--- a/pkg/bench/check/check_test.go
+++ b/pkg/bench/check/check_test.go
@@ -11,6 +11,7 @@
 
 var start = time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
 
+// at returns the given number of seconds after the start of the history.
 func at(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 
 // validRecords returns a history without violations.
--- a/pkg/bench/demo/demo.go
+++ b/pkg/bench/demo/demo.go
@@ -103,6 +103,7 @@
 	return err
 }
 
+// logf writes a progress line with the time since the start of the demo.
 func (d *demo) logf(format string, values ...any) {
 	fmt.Fprintf(d.out, "%6.2fs  %s\n", time.Since(d.started).Seconds(), fmt.Sprintf(format, values...))
 }
@@ -140,7 +141,7 @@
 	return nil
 }
 
-// callers is the client name of the links between callers and nodes.
+// callersName is the client name of the links between callers and nodes.
 const callersName = "callers"
 
 // addLatency delays the links between zones and those from callers to nodes.
@@ -357,6 +358,7 @@
 	return int64(total / float64(len(d.fleet.Proxies))), nil
 }
 
+// waitForEnter prints the addresses of all processes and blocks until Enter is pressed.
 func (d *demo) waitForEnter(folder string) {
 	fmt.Fprintf(d.out, "the fleet stays up; settings and logs are in %s\n", folder)
 	for _, node := range d.fleet.All() {
--- a/pkg/bench/standin/backend.go
+++ b/pkg/bench/standin/backend.go
@@ -61,6 +61,7 @@
 	inFlight         atomic.Int64
 	connections      atomic.Int64
 	draining         atomic.Bool
+	// reportedInFlight is the value of inFlight at the last load update.
 	reportedInFlight atomic.Int64
 
 	mu sync.Mutex
