--- a/pkg/bench/standin/backend.go
+++ b/pkg/bench/standin/backend.go
@@ -58,9 +58,9 @@
 	listener net.Listener
 	started  time.Time
 
-	inFlight         atomic.Int64
-	connections      atomic.Int64
-	draining         atomic.Bool
+	inFlight    atomic.Int64
+	connections atomic.Int64
+	draining    atomic.Bool
 	// reportedInFlight is the value of inFlight at the last load update.
 	reportedInFlight atomic.Int64
 
