--- a/pkg/raft/lease.go
+++ b/pkg/raft/lease.go
@@ -5,14 +5,16 @@
 // confirmation tracks how current a follower's applied state is, in readings of the follower's
 // own clock.
 type confirmation struct {
-	// at is the newest SentAt of this replica that a leader with a valid lease has echoed. Once
-	// commit is applied, the state includes everything committed by then.
-	at     time.Duration
+	// at is the newest SentAt of this replica that a leader with a valid lease has echoed, zero
+	// if none.
+	at time.Duration
+	// commit is the leader's commit index in that message. Once it is applied, the state
+	// includes everything that was committed at the time at.
 	commit uint64
-	// appliedAt is the newest such reading whose commit index has been applied; valid if
-	// hasApplied is set.
-	appliedAt  time.Duration
-	hasApplied bool
+	// confirmedAt is the newest value of at for which commit was applied; valid if
+	// hasConfirmed is set.
+	confirmedAt  time.Duration
+	hasConfirmed bool
 }
 
 func (c *confirmation) observe(m Message) {
@@ -25,14 +27,14 @@
 
 func (c *confirmation) markApplied(applied uint64) {
 	if c.at > 0 && applied >= c.commit {
-		c.appliedAt = c.at
-		c.hasApplied = true
+		c.confirmedAt = c.at
+		c.hasConfirmed = true
 	}
 }
 
-// quorumAckedAt returns the newest send time on the leader's clock that a quorum of voters has
+// quorumAckedSentAt returns the newest send time on the leader's clock that a quorum of voters has
 // acknowledged. The leader itself counts as acknowledging now.
-func (n *Node) quorumAckedAt(now time.Duration) time.Duration {
+func (n *Node) quorumAckedSentAt(now time.Duration) time.Duration {
 	var acked []time.Duration
 	for _, id := range n.Membership().Voters() {
 		if id == n.config.ID {
@@ -40,7 +42,7 @@
 			continue
 		}
 		if p, found := n.progress[id]; found {
-			acked = append(acked, p.ackedAt)
+			acked = append(acked, p.ackedSentAt)
 		} else {
 			acked = append(acked, 0)
 		}
@@ -67,7 +69,7 @@
 	if n.role != Leader || !n.committedInTerm() {
 		return false
 	}
-	acked := n.quorumAckedAt(now)
+	acked := n.quorumAckedSentAt(now)
 	return acked > 0 && now < acked+n.leaseDuration()
 }
 
@@ -80,7 +82,7 @@
 		return now, true
 	}
 	n.confirmation.markApplied(n.log.applied)
-	return n.confirmation.appliedAt, n.confirmation.hasApplied
+	return n.confirmation.confirmedAt, n.confirmation.hasConfirmed
 }
 
 // Alive reports whether the leader received a response from a replica within the election
@@ -89,15 +91,15 @@
 	return now-n.becameLeaderAt < n.config.ElectionTimeout || n.respondedRecently(now, id)
 }
 
-// SinceLastContact returns the time since a replica last acknowledged a message of this leader
-// or, if it never did, since the leader first sent it one. It is zero for the leader itself and
-// for a replica to which nothing has been sent.
+// SinceLastContact returns the time since this leader sent the newest message that a replica
+// has acknowledged or, if there is none, since it first sent the replica one. It is zero for
+// the leader itself and for a replica to which nothing has been sent.
 func (n *Node) SinceLastContact(now time.Duration, id ReplicaID) time.Duration {
 	p, found := n.progress[id]
 	if id == n.config.ID || !found || p.firstSentAt == 0 {
 		return 0
 	}
-	return now - max(p.ackedAt, p.firstSentAt)
+	return now - max(p.ackedSentAt, p.firstSentAt)
 }
 
 // HeardLeaderAt returns when this replica last received a message from a leader, or now if it
@@ -116,5 +118,5 @@
 		return true
 	}
 	p, found := n.progress[id]
-	return found && p.ackedAt > 0 && now-p.ackedAt < n.config.ElectionTimeout
+	return found && p.ackedSentAt > 0 && now-p.ackedSentAt < n.config.ElectionTimeout
 }
--- a/pkg/raft/membership.go
+++ b/pkg/raft/membership.go
@@ -15,8 +15,8 @@
 	// Address is where other replicas connect to this one.
 	Address string
 	Zone    string
-	// Interface is the address of the replica's operator API, to which other replicas forward
-	// operators' requests; empty if unknown.
+	// Interface is the address of the replica's platform API, to which other replicas redirect
+	// requests while this one leads; empty if unknown.
 	Interface string
 	// Learner is set for a replica that receives the log but neither votes nor counts toward a
 	// quorum.
@@ -91,7 +91,7 @@
 	return Membership{Members: members}
 }
 
-// Without returns a copy without the member id.
+// Without returns a copy that lacks the member with the given ID.
 func (m Membership) Without(id ReplicaID) Membership {
 	members := slices.DeleteFunc(slices.Clone(m.Members), func(member Member) bool {
 		return member.ID == id
--- a/pkg/raft/node.go
+++ b/pkg/raft/node.go
@@ -9,7 +9,7 @@
 
 // Errors of Propose and ProposeMembership.
 var (
-	// ErrNotLeader means that another replica must be asked: only the leader accepts proposals.
+	// ErrNotLeader means that this replica is not the leader, which alone accepts proposals.
 	ErrNotLeader = errors.New("raft: this replica is not the leader")
 	// ErrMembershipPending means that an earlier membership change is not committed yet.
 	ErrMembershipPending = errors.New("raft: a membership change is already in progress")
@@ -26,8 +26,8 @@
 	// ElectionTimeout is the minimum time without contact to a leader before a follower starts
 	// an election. The actual timeout is random, between this value and twice this value.
 	ElectionTimeout time.Duration
-	// Uptime is how long the process had been running when New was called. It has not
-	// acknowledged any leader in that time, so it may vote that much earlier.
+	// Uptime is how long the process had been running when New was called. It counts toward the
+	// delay before the first vote, since the process has acknowledged no leader in that time.
 	Uptime time.Duration
 	// HeartbeatInterval is the time between two heartbeats of a leader; well below
 	// ElectionTimeout.
@@ -148,10 +148,10 @@
 // SnapshotIndex returns the index of the newest snapshot.
 func (n *Node) SnapshotIndex() uint64 { return n.log.snapshot.Index }
 
-// Membership returns the membership in force: the newest one in the log.
+// Membership returns the current membership: the newest one in the log, committed or not.
 func (n *Node) Membership() Membership { return n.memberships.current().membership }
 
-// MembershipCommitted reports whether the membership in force is committed.
+// MembershipCommitted reports whether the current membership is committed.
 func (n *Node) MembershipCommitted() bool {
 	return n.memberships.current().index <= n.log.commit
 }
@@ -216,8 +216,9 @@
 	return index, n.term, nil
 }
 
-// ProposeMembership appends a membership that differs from the one in force by at most one
-// voter. It returns one of the errors above if the change is not possible.
+// ProposeMembership appends a membership that differs from the current one by at most one voter.
+// It returns ErrNotLeader, ErrMembershipPending, ErrTermNotCommitted or ErrMultipleVoterChanges
+// if the change is not possible.
 func (n *Node) ProposeMembership(m Membership) error {
 	if n.role != Leader {
 		return ErrNotLeader
--- a/pkg/raft/progress.go
+++ b/pkg/raft/progress.go
@@ -15,9 +15,9 @@
 	// if there is none.
 	snapshotSentAt time.Duration
 	snapshotIndex  uint64
-	// ackedAt is the newest send time on the leader's clock that the replica has echoed in this
+	// ackedSentAt is the newest send time on the leader's clock that the replica has echoed in this
 	// term; zero if none.
-	ackedAt time.Duration
+	ackedSentAt time.Duration
 	// firstSentAt is when the leader first sent the replica a message; zero if it has not.
 	firstSentAt time.Duration
 	// peerClock is the last clock reading received from the replica, and peerSession the
--- a/pkg/raft/raft_test.go
+++ b/pkg/raft/raft_test.go
@@ -144,8 +144,8 @@
 	is.Equal(restarted.Term(), uint64(0))
 }
 
-// A process that has been running for a while may vote that much earlier, since it has not
-// acknowledged any leader.
+// The time since the process started counts toward the voting delay: the process has
+// acknowledged no leader in that time.
 func TestVotingDelayCountsFromProcessStart(t *testing.T) {
 	is := is.New(t)
 	request := Message{Kind: MessageVote, From: 3, To: 1, Term: 5, Index: 100, LogTerm: 5}
--- a/pkg/raft/replication.go
+++ b/pkg/raft/replication.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// recordLeaderContact follows the sender as the current leader, and postpones votes and
-// elections by an election timeout.
+// recordLeaderContact follows the sender as the current leader. It postpones votes by an
+// election timeout and this replica's next election by one to two.
 func (n *Node) recordLeaderContact(now time.Duration, m Message) {
 	if n.role != Follower || n.leader != m.From {
 		n.becomeFollower(now, m.Term, m.From)
@@ -148,7 +148,7 @@
 	if !found {
 		return
 	}
-	p.ackedAt = max(p.ackedAt, m.EchoAt)
+	p.ackedSentAt = max(p.ackedSentAt, m.EchoAt)
 	p.peerClock = m.SentAt
 	p.peerSession = m.Session
 	if m.Reject {
@@ -167,7 +167,7 @@
 	if now < n.heartbeatDue {
 		return
 	}
-	lastContact := max(n.quorumAckedAt(now), n.becameLeaderAt)
+	lastContact := max(n.quorumAckedSentAt(now), n.becameLeaderAt)
 	if now-lastContact > n.config.ElectionTimeout {
 		// Check-quorum: a leader without contact to a majority steps down.
 		n.becomeFollower(now, n.term, 0)
