--- a/pkg/storage/filesystem.go
+++ b/pkg/storage/filesystem.go
@@ -31,7 +31,7 @@
 	Create(name string) (File, error)
 	// OpenAppend opens an existing file for appending.
 	OpenAppend(name string) (File, error)
-	// Rename gives oldName the name newName and replaces an existing file of that name.
+	// Rename renames the file oldName to newName and replaces an existing file of that name.
 	Rename(oldName, newName string) error
 	// SyncFolder makes created and renamed files durable.
 	SyncFolder() error
--- a/pkg/storage/storage.go
+++ b/pkg/storage/storage.go
@@ -18,8 +18,8 @@
 // unknown what is durable, or that the storage is closed.
 var ErrDurabilityUnknown = errors.New("storage: an earlier write failed; the process must exit")
 
-// ErrNoRoom means that the disk rejected a write, for instance because it is full. The write
-// had no effect, and the caller can retry.
+// ErrNoRoom means that the disk rejected a write, for instance because it is full. A Save or
+// Checkpoint that returns it had no effect and can be repeated.
 var ErrNoRoom = errors.New("storage: the disk rejected a write")
 
 // ErrNoState means that the folder contains no replica.
@@ -48,7 +48,8 @@
 }
 
 // Create writes the durable state of a new replica with its first snapshot. It fails if the
-// folder already contains a replica, and with ErrNoRoom if the disk rejects a write.
+// folder already contains a replica. A failed write, sync or rename is reported as ErrNoRoom;
+// Create can then be repeated as long as ReadIdentity returns ErrNoState.
 func Create(fsys FileSystem, identity Identity, first raft.Snapshot) error {
 	content, err := json.Marshal(identity)
 	if err != nil {
@@ -187,7 +188,7 @@
 // Identity returns the identity of the replica whose state this is.
 func (s *Storage) Identity() Identity { return s.identity }
 
-// Size returns the size of the log file in bytes.
+// Size returns the number of valid bytes in the log file.
 func (s *Storage) Size() int64 { return s.size }
 
 // Save makes the hard state, snapshot and entries of a batch of effects durable. After
