--- a/pkg/replica/membership.go
+++ b/pkg/replica/membership.go
@@ -46,7 +46,7 @@
 	return membership
 }
 
-// CreateFirst writes the durable state of one of a cluster's first replicas. It must be called
+// CreateFirst writes the durable state of one of a cluster's initial replicas. It must be called
 // only once for each of them: repeated after the loss of a disk, it would create a replica
 // without its earlier votes.
 func CreateFirst(fsys storage.FileSystem, clusterID, name string, members []raft.Member) error {
@@ -65,8 +65,8 @@
 	return storage.Create(fsys, identity, raft.Snapshot{})
 }
 
-// Join records the request of a replica to join, or to update its description. If it has the
-// name of an unresponsive member, it replaces that member.
+// Join records the request of a replica, usually another one, to join or to update its
+// description. A joining replica replaces an unresponsive member of the same name.
 func (r *Replica) Join(now time.Duration, member raft.Member) {
 	r.joinRequests[member.Name] = joinRequest{member: member, requestedAt: now}
 }
--- a/pkg/replica/replay.go
+++ b/pkg/replica/replay.go
@@ -22,14 +22,15 @@
 // serves no requests until that is done.
 type replayCost struct {
 	versions int
-	lastAt   time.Duration
+	// lastVersionAt is when the latest of them was applied.
+	lastVersionAt time.Duration
 }
 
 // record counts an applied command that creates or publishes a version.
 func (c *replayCost) record(now time.Duration, command catalog.Command) {
 	if command.Create != nil || command.Publish != nil {
 		c.versions++
-		c.lastAt = now
+		c.lastVersionAt = now
 	}
 }
 
@@ -37,5 +38,5 @@
 // recently.
 func (c *replayCost) compactionDue(now time.Duration, id raft.ReplicaID) bool {
 	jitter := time.Duration(uint64(id) % uint64(replayJitter))
-	return c.versions >= replayVersionThreshold && now-c.lastAt >= replayQuietPeriod+jitter
+	return c.versions >= replayVersionThreshold && now-c.lastVersionAt >= replayQuietPeriod+jitter
 }
--- a/pkg/replica/replay_test.go
+++ b/pkg/replica/replay_test.go
@@ -32,7 +32,7 @@
 // No snapshot is due while versions arrive, or for only a few versions.
 func TestNoCompactionWhileVersionsArrive(t *testing.T) {
 	is := is.New(t)
-	c := replayCost{versions: replayVersionThreshold, lastAt: time.Minute}
+	c := replayCost{versions: replayVersionThreshold, lastVersionAt: time.Minute}
 	is.True(!c.compactionDue(time.Minute+replayQuietPeriod-1, 0))
 	is.True(c.compactionDue(time.Minute+replayQuietPeriod, 0))
 	c.versions--
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -15,7 +15,7 @@
 
 // Errors of Propose and of a Completion.
 var (
-	// ErrNotLeader means that another replica must be asked.
+	// ErrNotLeader means that this replica is not the leader, or that its disk rejects writes.
 	ErrNotLeader = raft.ErrNotLeader
 	// ErrUnknownOutcome means that leadership was lost before the command was committed. The
 	// command may still be committed later.
@@ -30,8 +30,8 @@
 	// CompactBytes is the number of bytes by which the log grows until a new snapshot is due;
 	// zero means no limit.
 	CompactBytes int64
-	// RemoveAfter is the time without contact after which the leader removes a member that is
-	// not needed for the tolerated losses; zero means never.
+	// RemoveAfter is the time without contact after which the leader removes a member, if the
+	// remaining voters can still lose ToleratedLosses replicas; zero means never.
 	RemoveAfter time.Duration
 	// ToleratedLosses is the number of replicas that may be lost at the same time.
 	ToleratedLosses int
@@ -158,7 +158,8 @@
 	return address, found
 }
 
-// Propose proposes a command. A Completion with the same ID reports its outcome.
+// Propose proposes a command. Unless it returns an error, a Completion with the same ID reports
+// the outcome.
 func (r *Replica) Propose(id ProposalID, command catalog.Command) error {
 	if r.Stalled() {
 		return ErrNotLeader
@@ -175,8 +176,9 @@
 	return nil
 }
 
-// Flush makes pending effects durable and applies committed entries. If the disk rejects the
-// write, the replica is stalled and Flush returns no error.
+// Flush makes pending effects durable and applies committed entries until none are pending, and
+// compacts the log if that is due. If the disk rejects the write, the replica is stalled and
+// Flush returns no error.
 func (r *Replica) Flush(now time.Duration) (Output, error) {
 	var output Output
 	before := r.catalog.State().Revision
