--- a/pkg/clock/clock.go
+++ b/pkg/clock/clock.go
@@ -33,9 +33,10 @@
 	wall      time.Time
 }
 
-// correction is the suspended time that the monotonic clock does not include.
+// correction is the suspended time that the monotonic clock does not include, as last read.
 type correction struct {
-	// gap is the result of reading.gap when the suspended time was last read.
+	// gap is how far the wall clock was ahead of the monotonic clock, relative to the start of
+	// the Clock, when the suspended time was last read.
 	gap time.Duration
 	// sinceStart is the time that the machine has been suspended since the clock was created,
 	// sinceBoot since the machine was booted.
@@ -67,7 +68,7 @@
 // Millis returns the whole milliseconds since the clock was created.
 func (c *Clock) Millis() int64 { return c.Elapsed().Milliseconds() }
 
-// Now returns the time since the clock was created, truncated to milliseconds.
+// Now returns the same time as Elapsed, truncated to milliseconds.
 func (c *Clock) Now() time.Duration { return time.Duration(c.Millis()) * time.Millisecond }
 
 // Elapsed returns the time since the clock was created at full resolution, for measurements
@@ -87,7 +88,7 @@
 	return r.wall.Sub(start.wall) - (r.monotonic - start.monotonic)
 }
 
-// updateCorrection reads the machine's suspended time and returns the new correction.
+// updateCorrection reads the machine's suspended time, and stores and returns the new correction.
 func (c *Clock) updateCorrection() *correction {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/pkg/clock/suspend_test.go
+++ b/pkg/clock/suspend_test.go
@@ -73,7 +73,7 @@
 	is := is.New(t)
 	suspended, err := suspendedTime()
 	is.NoErr(err)
-	is.True(suspended > -time.Second) // the kernel's two clocks are not read at the same instant
+	is.True(suspended > -time.Second) // may be slightly negative, as the kernel's two clocks are not read at the same instant
 }
 
 // BenchmarkElapsed measures one reading of the clock.
