--- a/pkg/control/announce.go
+++ b/pkg/control/announce.go
@@ -11,7 +11,7 @@
 
 const (
 	// backgroundProposalTimeout bounds a proposal that no operator waits for. A proposal that times out
-	// is repeated: nodes resend their announcements, and the judges look again.
+	// is repeated: nodes resend their announcements, and the leader reevaluates periodically.
 	backgroundProposalTimeout = 2 * time.Second
 	// announceBatchInterval is the minimum time between two commits of announced endpoints. Each commit
 	// sends a message to every replica and every node, so announcements that arrive within the
--- a/pkg/control/announce_test.go
+++ b/pkg/control/announce_test.go
@@ -41,7 +41,7 @@
 	return distribution.Endpoint{Service: "orders", ID: id, Incarnation: 1, Gate: gate, State: state}
 }
 
-// Guards against one commit for each of hundreds of nodes that announce at the same time.
+// Announcements of hundreds of nodes that arrive at the same time must share a batch.
 func TestAnnouncementsAreBatched(t *testing.T) {
 	is := is.New(t)
 	const nodes = 280
@@ -54,7 +54,7 @@
 	is.Equal(len(more), 0)
 }
 
-// Guards against a log entry for each back end when many announce to a leader at the same time.
+// Announcements of many nodes that arrive at a leader at the same time must share a few commits.
 func TestManyAnnouncementsTakeFewCommits(t *testing.T) {
 	is := is.New(t)
 	server := startSingleReplica(t)
--- a/pkg/control/membership.go
+++ b/pkg/control/membership.go
@@ -115,7 +115,7 @@
 }
 
 // runJoinLoop requests membership from the other replicas while this one isn't a voter, is recorded with
-// outdated attributes, or hears from no leader, since it may have been removed during a partition.
+// outdated attributes, or has no contact with a leader, since it may have been removed during a partition.
 func (p *peerSet) runJoinLoop() {
 	for p.ctx.Err() == nil {
 		var member raft.Member
@@ -207,17 +207,17 @@
 	group.Wait()
 }
 
-// openInterface opens the listener of the platform interface, if one is configured.
-func (s *Server) openInterface() error {
-	if s.settings.InterfaceListen == "" || s.newInterface == nil {
+// openPlatformAPI opens the listener of the platform API, if one is configured.
+func (s *Server) openPlatformAPI() error {
+	if s.settings.InterfaceListen == "" || s.newPlatformAPI == nil {
 		return nil
 	}
 	var err error
-	s.interfaceListener, err = net.Listen("tcp", s.settings.InterfaceListen)
+	s.platformAPIListener, err = net.Listen("tcp", s.settings.InterfaceListen)
 	return err
 }
 
-// LeaderInterface returns the address of the leader's platform interface, empty if unknown, and
+// LeaderInterface returns the address of the leader's platform API, empty if unknown, and
 // whether this replica is the leader.
 func (s *Server) LeaderInterface() (address string, self bool) {
 	view := s.membership.Load()
@@ -227,12 +227,12 @@
 	return view.leader.Interface, view.leading
 }
 
-// serveInterface serves the platform interface until the context ends.
-func (s *Server) serveInterface(ctx context.Context) {
-	if s.interfaceListener == nil {
+// servePlatformAPI serves the platform API until the context ends.
+func (s *Server) servePlatformAPI(ctx context.Context) {
+	if s.platformAPIListener == nil {
 		return
 	}
-	server := newInterfaceServer(s.newInterface(s))
+	server := newPlatformAPIServer(s.newPlatformAPI(s))
 	context.AfterFunc(ctx, func() { server.Close() })
-	_ = server.Serve(s.interfaceListener)
+	_ = server.Serve(s.platformAPIListener)
 }
--- a/pkg/control/operator.go
+++ b/pkg/control/operator.go
@@ -33,7 +33,7 @@
 	mux.HandleFunc("POST "+operator.PathVersions+"/{version}/approve", s.handleApprove)
 	mux.HandleFunc("POST "+operator.PathVersions+"/{version}/roll", s.handleRoll)
 	mux.HandleFunc("POST "+operator.PathPublications, s.handlePublish)
-	mux.HandleFunc("GET "+operator.PathVersions, s.handleList)
+	mux.HandleFunc("GET "+operator.PathVersions, s.handleVersions)
 	mux.HandleFunc("GET "+operator.PathStatus, s.handleStatus)
 	mux.HandleFunc("GET "+operator.PathNodes, s.handleNodes)
 	mux.HandleFunc("GET "+operator.PathDiff, s.handleDiff)
@@ -344,7 +344,7 @@
 	writeResponse(w, result, err)
 }
 
-func (s *Server) handleList(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleVersions(w http.ResponseWriter, r *http.Request) {
 	var list operator.VersionList
 	err := s.readWithLease(r.Context(), func(time.Duration) { list = s.versionList() })
 	writeResponse(w, list, err)
--- a/pkg/control/peers.go
+++ b/pkg/control/peers.go
@@ -151,9 +151,9 @@
 	return conn, nil
 }
 
-// announce queues an announcement for the leader. It runs on the event loop.
-func (p *peerSet) announce(leader raft.ReplicaID, announced protocol.Announce) {
-	p.queue(leader, outboundFrame{kind: protocol.KindAnnounce, value: announced})
+// announce queues an announcement for a replica. It runs on the event loop.
+func (p *peerSet) announce(to raft.ReplicaID, announced protocol.Announce) {
+	p.queue(to, outboundFrame{kind: protocol.KindAnnounce, value: announced})
 }
 
 // announceToAll queues an announcement for every other member. It runs on the event loop.
--- a/pkg/control/publish.go
+++ b/pkg/control/publish.go
@@ -15,10 +15,10 @@
 	"bramblelift/pkg/settings"
 )
 
-// Timeouts of the platform interface.
+// Timeouts and intervals of the platform API.
 const (
-	interfaceHeaderTimeout = 5 * time.Second
-	interfaceIdleTimeout   = time.Minute
+	platformAPIHeaderTimeout = 5 * time.Second
+	platformAPIIdleTimeout   = time.Minute
 	// leaseWaitTimeout bounds how long a request waits for a new leader's lease, leasePollInterval is the
 	// interval of the checks. Clients switch to another replica after one second.
 	leaseWaitTimeout  = 700 * time.Millisecond
@@ -153,6 +153,6 @@
 	return source, version, err
 }
 
-func newInterfaceServer(handler http.Handler) *http.Server {
-	return &http.Server{Handler: handler, ReadHeaderTimeout: interfaceHeaderTimeout, IdleTimeout: interfaceIdleTimeout}
+func newPlatformAPIServer(handler http.Handler) *http.Server {
+	return &http.Server{Handler: handler, ReadHeaderTimeout: platformAPIHeaderTimeout, IdleTimeout: platformAPIIdleTimeout}
 }
--- a/pkg/control/rollout.go
+++ b/pkg/control/rollout.go
@@ -89,7 +89,7 @@
 	pendingReports []protocol.RolloutReport
 	// idle is set while no rollout is active.
 	idle bool
-	// leadingSince is when this goroutine first saw that this replica leads, zero while it doesn't.
+	// leadingSince is when runOnce first found that this replica leads, zero while it doesn't.
 	leadingSince   time.Time
 	activeRollouts map[string]*activeRollout
 }
@@ -143,21 +143,21 @@
 	return len(c.activeRollouts) > 0
 }
 
-// evaluateAll evaluates the active rollouts, and keeps the latest observation of ended ones.
+// evaluateAll evaluates the active rollouts, and keeps the latest observation of those that ended.
 func (c *rolloutController) evaluateAll(ctx context.Context, now time.Time, state *distribution.State) {
 	var previous map[string]rolloutObservation
 	if current := c.server.rolloutObservations.Load(); current != nil {
 		previous = *current
 	}
-	seen := maps.Clone(previous)
-	if seen == nil {
-		seen = map[string]rolloutObservation{}
+	observations := maps.Clone(previous)
+	if observations == nil {
+		observations = map[string]rolloutObservation{}
 	}
 	for service := range c.activeRollouts {
 		current, _ := state.Orders.RolloutOf(service)
-		seen[service] = rolloutObservation{number: current.Number, RolloutSeen: c.evaluate(ctx, now, current, state.Endpoints[service])}
+		observations[service] = rolloutObservation{number: current.Number, RolloutSeen: c.evaluate(ctx, now, current, state.Endpoints[service])}
 	}
-	c.server.rolloutObservations.Store(&seen)
+	c.server.rolloutObservations.Store(&observations)
 }
 
 // rolloutObservation is the data of the leader's latest evaluation of one rollout.
@@ -240,14 +240,14 @@
 }
 
 // logRolloutStep logs a step with the data behind the decision.
-func (s *Server) logRolloutStep(current, next rollout.Rollout, seen operator.RolloutSeen, took time.Duration, err error) {
+func (s *Server) logRolloutStep(current, next rollout.Rollout, observation operator.RolloutSeen, took time.Duration, err error) {
 	logger := log.With(s.logger, "event", "rollout_step", "service", next.Service, "target", next.Version, "number", next.Number, "step", next.Step)
 	logger.Log("phase_before", current.Phase, "phase_now", next.Phase, "share_before", current.Share, "share_now", next.Share, "reason", next.Reason,
-		"age", time.Since(time.UnixMilli(next.AtMillis)).Round(time.Millisecond), "granted", next.Exposed(), "admitted", seen.New.Admitted,
-		"reached", seen.New.Admitted+seen.Old.Admitted, "new_failed", seen.New.Failed, "new_answered", seen.New.Answered,
-		"old_failed", seen.Old.Failed, "old_answered", seen.Old.Answered, "nodes", seen.Nodes, "nodes_confirmed", seen.NodesConfirmed,
-		"gates", seen.Gates, "gates_confirmed", seen.GatesConfirmed, "took", took.Round(time.Millisecond), "error", err)
-	for _, route := range seen.Routes {
+		"age", time.Since(time.UnixMilli(next.AtMillis)).Round(time.Millisecond), "granted", next.Exposed(), "admitted", observation.New.Admitted,
+		"reached", observation.New.Admitted+observation.Old.Admitted, "new_failed", observation.New.Failed, "new_answered", observation.New.Answered,
+		"old_failed", observation.Old.Failed, "old_answered", observation.Old.Answered, "nodes", observation.Nodes, "nodes_confirmed", observation.NodesConfirmed,
+		"gates", observation.Gates, "gates_confirmed", observation.GatesConfirmed, "took", took.Round(time.Millisecond), "error", err)
+	for _, route := range observation.Routes {
 		logger.Log("route", route.Route, "new_failed", route.New.Failed, "new_answered", route.New.Answered, "new_median", route.New.Median,
 			"old_failed", route.Old.Failed, "old_answered", route.Old.Answered, "old_median", route.Old.Median)
 	}
--- a/pkg/control/rollout_operator.go
+++ b/pkg/control/rollout_operator.go
@@ -35,11 +35,11 @@
 	if all == nil {
 		return nil
 	}
-	seen, found := (*all)[current.Service]
-	if !found || seen.number != current.Number {
+	observation, found := (*all)[current.Service]
+	if !found || observation.number != current.Number {
 		return nil
 	}
-	return &seen.RolloutSeen
+	return &observation.RolloutSeen
 }
 
 func (s *Server) handleRolloutStart(w http.ResponseWriter, r *http.Request) {
@@ -100,8 +100,8 @@
 		gauge(rolloutPhase, 1, current.Service, current.Version, current.Phase.String())
 		gauge(rolloutShare, float64(current.Share)/rollout.Thousandths, current.Service, current.Version)
 		gauge(rolloutGranted, float64(current.Exposed()), current.Service, current.Version)
-		if seen := m.server.observationsOf(current); seen != nil {
-			for side, counts := range map[string]operator.RolloutSide{"new": seen.New, "old": seen.Old} {
+		if observation := m.server.observationsOf(current); observation != nil {
+			for side, counts := range map[string]operator.RolloutSide{"new": observation.New, "old": observation.Old} {
 				gauge(rolloutCalls, float64(counts.Answered), current.Service, side, "answered")
 				gauge(rolloutCalls, float64(counts.Failed), current.Service, side, "failed")
 			}
--- a/pkg/control/rollout_order.go
+++ b/pkg/control/rollout_order.go
@@ -99,7 +99,7 @@
 // StopRollout commits the rollback of a service's active rollout. It is idempotent. The error is a
 // *catalog.OperationError.
 func (s *Server) StopRollout(ctx context.Context, service string) (rollout.Rollout, error) {
-	// A concurrent step of the leader makes the stop void, so it is retried.
+	// A concurrent step of the leader invalidates the stop, so it is retried.
 	for range maxStopAttempts {
 		var current *rollout.Rollout
 		err := s.readAwaitingLease(ctx, func(time.Duration) { current = latestRollout(s.replica.State().Orders, service) })
@@ -120,7 +120,7 @@
 	return rollout.Rollout{}, newOperationError(catalog.CodeUnavailable, "service %q: the rollout moves on too fast; try again", service)
 }
 
-// maxStopAttempts bounds the proposals of a stop that concurrent steps make void.
+// maxStopAttempts bounds the proposals of a stop that concurrent steps invalidate.
 const maxStopAttempts = 5
 
 // Rollout returns a service's newest committed rollout, false if there was none. It fails if this replica
--- a/pkg/control/rollout_test.go
+++ b/pkg/control/rollout_test.go
@@ -160,10 +160,10 @@
 	}
 	is.True(granted <= 150) // a tenth of 1000 calls plus a slack of 50
 	is.Equal(rollout.Allowance(current, '1'), uint64(0))
-	seen := server.observationsOf(current)
-	is.True(seen != nil)
-	is.Equal(seen.Gates, 2)
-	is.Equal(seen.Nodes, 2)
-	is.Equal(seen.Old.Admitted, uint64(1000))
+	observation := server.observationsOf(current)
+	is.True(observation != nil)
+	is.Equal(observation.Gates, 2)
+	is.Equal(observation.Nodes, 2)
+	is.Equal(observation.Old.Admitted, uint64(1000))
 	is.Equal(len(server.rolloutHistory.of("orders")), 1) // a change of grants isn't a step
 }
--- a/pkg/control/rollout_view.go
+++ b/pkg/control/rollout_view.go
@@ -12,25 +12,25 @@
 
 // summarize aggregates the nodes' reports of a rollout.
 func summarize(current rollout.Rollout, view rollout.View, reports map[string]nodeReport) operator.RolloutSeen {
-	seen := operator.RolloutSeen{Nodes: len(view.Holders), Gates: len(view.Gates)}
+	observation := operator.RolloutSeen{Nodes: len(view.Holders), Gates: len(view.Gates)}
 	for _, holder := range view.Holders {
 		if holder.Confirmed {
-			seen.NodesConfirmed++
+			observation.NodesConfirmed++
 		}
 	}
 	for _, gate := range view.Gates {
 		if gate.Confirmed {
-			seen.GatesConfirmed++
+			observation.GatesConfirmed++
 		}
 		if current.Phase == rollout.Closing && gate.Version != current.Version && (!gate.Confirmed || gate.AtWork > 0) {
-			if seen.Open == nil {
-				seen.Open = map[string]int{}
+			if observation.Open == nil {
+				observation.Open = map[string]int{}
 			}
-			seen.Open[gate.Instance] = gate.AtWork
+			observation.Open[gate.Instance] = gate.AtWork
 		}
 	}
-	addReports(&seen, current, reports)
-	return seen
+	addReports(&observation, current, reports)
+	return observation
 }
 
 // sideCounts are the summed counts of one side of a rollout, for one route or all.
@@ -51,7 +51,7 @@
 	return operator.RolloutSide{Answered: s.answered, Failed: s.failed, Median: s.times.Median()}
 }
 
-func addReports(v *operator.RolloutSeen, current rollout.Rollout, reports map[string]nodeReport) {
+func addReports(observation *operator.RolloutSeen, current rollout.Rollout, reports map[string]nodeReport) {
 	type sides struct{ new, old sideCounts }
 	routes := map[string]*sides{}
 	var all sides
@@ -61,9 +61,9 @@
 		}
 		target := node.Gate.Version == current.Version
 		if target {
-			v.New.Admitted += node.Gate.Admitted
+			observation.New.Admitted += node.Gate.Admitted
 		} else {
-			v.Old.Admitted += node.Gate.Admitted
+			observation.Old.Admitted += node.Gate.Admitted
 		}
 		for _, count := range node.Gate.Routes {
 			route := routes[count.Route]
@@ -81,12 +81,12 @@
 		}
 	}
 	for name, route := range routes {
-		v.Routes = append(v.Routes, operator.RolloutRoute{Route: name, New: route.new.side(), Old: route.old.side()})
+		observation.Routes = append(observation.Routes, operator.RolloutRoute{Route: name, New: route.new.side(), Old: route.old.side()})
 	}
-	slices.SortFunc(v.Routes, func(a, b operator.RolloutRoute) int { return cmp.Compare(a.Route, b.Route) })
-	newAdmitted, oldAdmitted := v.New.Admitted, v.Old.Admitted
-	v.New, v.Old = all.new.side(), all.old.side()
-	v.New.Admitted, v.Old.Admitted = newAdmitted, oldAdmitted
+	slices.SortFunc(observation.Routes, func(a, b operator.RolloutRoute) int { return cmp.Compare(a.Route, b.Route) })
+	newAdmitted, oldAdmitted := observation.New.Admitted, observation.Old.Admitted
+	observation.New, observation.Old = all.new.side(), all.old.side()
+	observation.New.Admitted, observation.Old.Admitted = newAdmitted, oldAdmitted
 }
 
 // maxRolloutSteps bounds the steps kept for each service.
--- a/pkg/control/server.go
+++ b/pkg/control/server.go
@@ -30,10 +30,11 @@
 
 // Buffer sizes, limits and timeouts of the daemon.
 const (
-	maxAppendBytes      = 1 << 20
-	keepEntries         = 1000
-	compactAfter        = 4000
-	compactBytes        = 16 << 20
+	maxAppendBytes = 1 << 20
+	keepEntries    = 1000
+	compactAfter   = 4000
+	compactBytes   = 16 << 20
+	// maxClockDrift is the largest relative error of a replica's clock rate that leases allow for.
 	maxClockDrift       = 0.05
 	inputQueueSize      = 1024
 	maxBatchedEvents    = 256
@@ -91,8 +92,8 @@
 	seeds             atomic.Pointer[[]string]
 	quotas            *quotaCoordinator
 
-	newInterface      func(*Server) http.Handler
-	interfaceListener net.Listener
+	newPlatformAPI      func(*Server) http.Handler
+	platformAPIListener net.Listener
 }
 
 // loopFunc is a function that runs on the event loop.
@@ -111,10 +112,11 @@
 }
 
 // New opens the replica's state and its listeners. A replica with an empty data folder asks to replace the
-// member of its name. newInterface, if not nil, creates the handler of settings.InterfaceListen.
-func New(config settings.Control, logger log.Logger, newInterface func(*Server) http.Handler) (*Server, error) {
+// member of its name. newPlatformAPI, if not nil, creates the handler of the platform API, which is served
+// at settings.InterfaceListen.
+func New(config settings.Control, logger log.Logger, newPlatformAPI func(*Server) http.Handler) (*Server, error) {
 	s := &Server{
-		newInterface: newInterface, endpointQueue: make(chan []distribution.Endpoint, inputQueueSize),
+		newPlatformAPI: newPlatformAPI, endpointQueue: make(chan []distribution.Endpoint, inputQueueSize),
 		evidenceQueue: make(chan []quarantine.Evidence, inputQueueSize), suspectsChanged: make(chan struct{}, 1),
 		rolloutReports: make(chan []protocol.RolloutReport, inputQueueSize), rolloutsChanged: make(chan struct{}, 1),
 		settings: config, logger: logger, clock: clock.New(),
@@ -152,7 +154,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := s.openInterface(); err != nil {
+	if err := s.openPlatformAPI(); err != nil {
 		return nil, err
 	}
 	s.traffic = metrics.NewTraffic(s.admin.Registry)
@@ -204,7 +206,7 @@
 	var group sync.WaitGroup
 	defer group.Wait()
 	defer cancel()
-	// This must not be stopped: it ends the goroutines that the deferred group.Wait waits for.
+	// The function must run even if Run fails: it stops goroutines that the deferred group.Wait waits for.
 	context.AfterFunc(ctx, func() {
 		s.hub.Stop()
 		s.listener.Close()
@@ -222,7 +224,7 @@
 	group.Go(func() { s.runRollouts(ctx) })
 	group.Go(func() { s.broadcastSubscriberLevel(ctx) })
 	group.Go(func() { s.quotas.run(ctx) })
-	group.Go(func() { s.serveInterface(ctx) })
+	group.Go(func() { s.servePlatformAPI(ctx) })
 	err := s.runEventLoop(ctx)
 	s.peers.close()
 	if closeErr := s.replica.Close(); err == nil && closeErr != nil {
--- a/pkg/control/server_test.go
+++ b/pkg/control/server_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// Guards against a race in which Run did not close its listener and waited for itself forever. The race is
-// rare, so the test repeats the stop.
+// Run must always close its listener and return, also if it is stopped just after its start. A race that
+// prevents this is rare, so the test repeats the stop.
 func TestServerAlwaysStops(t *testing.T) {
 	is := is.New(t)
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
--- a/pkg/control/status.go
+++ b/pkg/control/status.go
@@ -15,8 +15,10 @@
 
 // LocalStatus is the response of /status: this replica's own view, which may be stale.
 type LocalStatus struct {
-	Name        string          `json:"name"`
-	Role        string          `json:"role"`
+	Name string `json:"name"`
+	Role string `json:"role"`
+	// Confirmed is set once a leader has confirmed the state. StaleMillis is the time since the latest
+	// confirmation that the state included every committed change.
 	Confirmed   bool            `json:"confirmed"`
 	StaleMillis int64           `json:"stale_millis"`
 	Subscribers int             `json:"subscribers"`
--- a/pkg/control/suspects.go
+++ b/pkg/control/suspects.go
@@ -47,7 +47,8 @@
 	}
 }
 
-// proposeNewEvidence proposes the evidence that the state doesn't contain, or forwards it to the leader.
+// proposeNewEvidence proposes the evidence that the state doesn't contain, or forwards it to the leader. A
+// leader that can't decide on suspects drops it; gates repeat it.
 func (s *Server) proposeNewEvidence(ctx context.Context, evidence quarantine.Evidence) {
 	ctx, cancel := context.WithTimeout(ctx, backgroundProposalTimeout)
 	defer cancel()
@@ -118,9 +119,9 @@
 	}
 }
 
-// answerable reports whether any service that crashed under a suspect has a back end that could answer it:
-// live, not evacuated, and not crashed itself. A service without registered back ends has them in the
-// bundle, and counts as answerable. It runs on the event loop.
+// answerable reports whether any service whose back ends crashed while the suspect was in flight has a back
+// end that could respond: live, not evacuated, and not crashed itself. A service without registered back
+// ends has them in the bundle, and counts as answerable. It runs on the event loop.
 func (s *Server) answerable(suspect *quarantine.Suspect) bool {
 	state := s.replica.State()
 	for _, end := range suspect.Ends {
--- a/pkg/control/suspects_test.go
+++ b/pkg/control/suspects_test.go
@@ -50,20 +50,20 @@
 	t.Fatalf("suspect %s did not reach quarantined=%t in time", request, quarantined)
 }
 
-// The leader must combine the evidence of several gates, quarantine only a request that was never
-// answered, and lift the quarantine when an operator asks for it.
+// The leader must combine the evidence of several gates, quarantine only a request that never
+// got a response, and lift the quarantine when an operator requests it.
 func TestLeaderCombinesEvidenceOfAllGates(t *testing.T) {
 	is := is.New(t)
 	server := startSingleReplica(t)
-	const fatal, popular = "0123456789abcdef0123456789abcdef01234567", "fedcba9876543210fedcba9876543210fedcba98"
+	const fatal, answered = "0123456789abcdef0123456789abcdef01234567", "fedcba9876543210fedcba9876543210fedcba98"
 	for _, instance := range []string{"i1", "i2", "i3"} {
-		server.handleAnnounce(protocol.Announce{Evidence: ptr(crashEvidence(fatal, instance).Join(crashEvidence(popular, instance)))})
+		server.handleAnnounce(protocol.Announce{Evidence: ptr(crashEvidence(fatal, instance).Join(crashEvidence(answered, instance)))})
 	}
-	awaitStanding(t, server, popular, false)
-	answer := quarantine.Evidence{Answers: []quarantine.Answer{{Request: popular, Way: quarantine.Way{Caller: "shop", Service: "orders"}}}}
+	awaitStanding(t, server, answered, false)
+	answer := quarantine.Evidence{Answers: []quarantine.Answer{{Request: answered, Way: quarantine.Way{Caller: "shop", Service: "orders"}}}}
 	server.handleAnnounce(protocol.Announce{Evidence: &answer})
 	awaitStanding(t, server, fatal, true)
-	_, watched := watchlist(t, server)[popular]
+	_, watched := watchlist(t, server)[answered]
 	is.Equal(watched, false)
 
 	client := operator.NewClient([]string{server.admin.Address()})
