--- a/pkg/registration/registration.go
+++ b/pkg/registration/registration.go
@@ -35,7 +35,8 @@
 	Capacity int
 	// Version is the version of the back end's software, empty if not reported.
 	Version string
-	// Cold is how much longer the back end stays cold, zero if it is warm.
+	// Cold is the remaining time in which the back end needs a reduced rate of calls (is cold), zero if it
+	// accepts its usual rate (is warm).
 	Cold  time.Duration
 	State State
 	// Sequence increases with each heartbeat of an incarnation, so that late ones are recognized.
@@ -59,7 +60,8 @@
 type Gate interface {
 	SetBackend(gate.Backend)
 	RemoveBackend(id string)
-	// HeardCold receives how much longer a back end stays cold, on each heartbeat.
+	// HeardCold is called on each heartbeat with the remaining time in which the back end must get a
+	// reduced rate of calls, zero if it is warm.
 	HeardCold(id string, remaining time.Duration)
 }
 
@@ -70,9 +72,9 @@
 	Service string
 	// GateAddress is the address at which other nodes reach the back end's gate.
 	GateAddress string
-	// Changed, if set, is called when there is a new announcement.
+	// Changed, if set, is called when Announcements has changed, so that the node can send them.
 	Changed func()
-	// OnChange, if set, receives each change, for logs.
+	// OnChange, if set, is called with the heartbeat that caused the change, for logs.
 	OnChange func(Heartbeat)
 }
 
@@ -106,7 +108,8 @@
 	return &Registry{config: config, backends: map[string]*registeredBackend{}}
 }
 
-// Take processes a heartbeat. Late ones are ignored.
+// Take updates the back end, its gate and the announcements from a heartbeat. It ignores heartbeats that
+// arrive out of order or belong to an earlier incarnation.
 func (r *Registry) Take(h Heartbeat) {
 	r.mu.Lock()
 	changed := r.applyHeartbeat(h)
@@ -151,7 +154,8 @@
 	return changed
 }
 
-// Leave records that a back end left at a time. An unknown back end counts as started before that time.
+// Leave records that a back end left at a time. An unknown back end counts as started at that time, so that
+// heartbeats of incarnations that started earlier are ignored.
 func (r *Registry) Leave(id string, at time.Time) {
 	r.mu.Lock()
 	entry, found := r.backends[id]
@@ -232,8 +236,8 @@
 	}
 }
 
-// Observe processes the endpoints in the control plane's state. While no back end is known, it restores
-// the one registered at this gate.
+// Observe marks back ends whose state the control plane's endpoints contain as acknowledged, and forgets
+// removed ones. If no back end is known and none has left, it restores those registered at this gate.
 func (r *Registry) Observe(table distribution.EndpointTable) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -251,7 +255,7 @@
 	}
 }
 
-// restoreFromState adds the live back end that the control plane lists at this gate.
+// restoreFromState adds the live back ends that the control plane lists at this gate, usually one.
 func (r *Registry) restoreFromState(table distribution.EndpointTable) {
 	for _, endpoints := range table {
 		for _, listed := range endpoints {
--- a/pkg/registration/registration_test.go
+++ b/pkg/registration/registration_test.go
@@ -62,7 +62,7 @@
 	r, g := newRegistry()
 	r.Take(heartbeat("a", 5, Draining))
 	r.Take(heartbeat("a", 4, Ready))
-	r.Take(heartbeat("a", 6, Ready)) // the state of an incarnation never goes back
+	r.Take(heartbeat("a", 6, Ready)) // the state of an incarnation only advances
 	is.Equal(r.Announcements()[0].State, distribution.Leaving)
 	r.Leave("a", time.Now())
 	r.Take(heartbeat("a", 7, Ready))
--- a/pkg/registration/restart_test.go
+++ b/pkg/registration/restart_test.go
@@ -14,9 +14,9 @@
 	secondStart = time.UnixMilli(1_700_000_060_000)
 )
 
-func heartbeatBornAt(id string, born time.Time, sequence uint64, state State) Heartbeat {
+func heartbeatStartedAt(id string, startedAt time.Time, sequence uint64, state State) Heartbeat {
 	h := heartbeat(id, sequence, state)
-	h.Born = born
+	h.Born = startedAt
 	return h
 }
 
@@ -25,18 +25,18 @@
 func TestRestartedBackEndIsAcceptedUnderItsID(t *testing.T) {
 	for name, intervene := range map[string]func(*Registry){
 		"after a crash":    func(*Registry) {},
-		"after a drain":    func(r *Registry) { r.Take(heartbeatBornAt("a", firstStart, 501, Draining)) },
+		"after a drain":    func(r *Registry) { r.Take(heartbeatStartedAt("a", firstStart, 501, Draining)) },
 		"after it left":    func(r *Registry) { r.Leave("a", firstStart.Add(time.Second)) },
 		"shown as removed": func(r *Registry) { r.Leave("a", firstStart.Add(time.Second)); r.Observe(committedEndpoints(r)) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			r, g := newRegistry()
-			r.Take(heartbeatBornAt("a", firstStart, 500, Ready))
+			r.Take(heartbeatStartedAt("a", firstStart, 500, Ready))
 			table := committedEndpoints(r)
 			r.Observe(table)
 			intervene(r)
-			r.Take(heartbeatBornAt("a", secondStart, 3, Ready))
+			r.Take(heartbeatStartedAt("a", secondStart, 3, Ready))
 			is.Equal(g.updates[len(g.updates)-1], "set a 6")
 			is.True(len(g.updates) >= 2)
 			announced := r.Announcements()
@@ -46,23 +46,23 @@
 			is.Equal(state.Endpoints["s"]["a"].Incarnation, uint64(secondStart.UnixMilli())) // it supersedes the earlier incarnation
 			r.Observe(state.Endpoints)
 			is.Equal(len(r.Announcements()), 0)
-			r.Take(heartbeatBornAt("a", firstStart, 600, Draining)) // late, from the earlier incarnation
-			r.Take(heartbeatBornAt("a", secondStart, 2, Draining))  // late, from this incarnation
+			r.Take(heartbeatStartedAt("a", firstStart, 600, Draining)) // late, from the earlier incarnation
+			r.Take(heartbeatStartedAt("a", secondStart, 2, Draining))  // late, from this incarnation
 			is.Equal(len(r.Announcements()), 0)
-			r.Take(heartbeatBornAt("a", secondStart, 4, Draining))
+			r.Take(heartbeatStartedAt("a", secondStart, 4, Draining))
 			is.Equal(r.Announcements()[0].State, distribution.Leaving)
 		})
 	}
 }
 
-// A late heartbeat must not bring back an incarnation that left, even if this node hadn't known it.
+// A late heartbeat must not add an incarnation that left, even if this node had received none of it.
 func TestDepartedIncarnationStaysGone(t *testing.T) {
 	is := is.New(t)
 	r, g := newRegistry()
 	r.Leave("a", firstStart.Add(time.Second))
-	r.Take(heartbeatBornAt("a", firstStart, 9, Ready))
+	r.Take(heartbeatStartedAt("a", firstStart, 9, Ready))
 	is.Equal(g.updates, []string{"remove a"})
-	r.Take(heartbeatBornAt("a", secondStart, 1, Ready))
+	r.Take(heartbeatStartedAt("a", secondStart, 1, Ready))
 	is.Equal(g.updates, []string{"remove a", "set a 6"})
 }
 
@@ -70,12 +70,12 @@
 func TestRestartedNodeRestoresTheIncarnation(t *testing.T) {
 	is := is.New(t)
 	r, _ := newRegistry()
-	r.Take(heartbeatBornAt("a", secondStart, 1, Ready))
+	r.Take(heartbeatStartedAt("a", secondStart, 1, Ready))
 	restarted, g := newRegistry()
 	restarted.Observe(committedEndpoints(r))
 	is.Equal(g.updates, []string{"set a 6"})
-	restarted.Take(heartbeatBornAt("a", firstStart, 800, Draining))
-	restarted.Take(heartbeatBornAt("a", secondStart, 2, Ready))
+	restarted.Take(heartbeatStartedAt("a", firstStart, 800, Draining))
+	restarted.Take(heartbeatStartedAt("a", secondStart, 2, Ready))
 	is.Equal(g.updates, []string{"set a 6"})
 	is.Equal(len(restarted.Announcements()), 0)
 }
