--- a/pkg/machinelist/machinelist.go
+++ b/pkg/machinelist/machinelist.go
@@ -1,5 +1,6 @@
-// Package machinelist reads the platform's machine list and computes the changes of endpoints from it. The
-// list lags: it may show a leaving machine as live, or omit one that serves.
+// Package machinelist reads the platform's machine list and computes the changes of endpoints from it. A
+// machine in the list runs one back end, which the control plane stores as an endpoint. The list lags: it
+// may show a leaving machine as live, or omit one that serves.
 package machinelist
 
 import (
@@ -16,7 +17,7 @@
 	"bramblelift/pkg/distribution"
 )
 
-// Machine describes one back end in the list.
+// Machine is an entry of the list. It describes one back end.
 type Machine struct {
 	Service     string `json:"service"`
 	ID          string `json:"id"`
@@ -34,7 +35,7 @@
 const (
 	maxListBytes = 32 << 20
 	fetchTimeout = 2 * time.Second
-	// removeAfterMisses is the number of consecutive lists that must miss a machine before it is removed.
+	// removeAfterMisses is the number of consecutive lists that must lack a machine before it is removed.
 	removeAfterMisses = 8
 )
 
@@ -90,10 +91,10 @@
 
 type endpointKey struct{ service, id string }
 
-// Changes returns the endpoints that a list adds to or changes in the current ones. It skips entries with
-// an unusable address. A machine is removed only after it was missing from removeAfterMisses consecutive
-// lists, and never if its service would have no live endpoint left, so that an empty or truncated list
-// can't remove all back ends.
+// Changes returns the endpoints that are new, changed or removed according to a list, compared with the
+// current ones. It skips entries without a service, an ID or a usable address. A machine is removed only
+// after it was missing from removeAfterMisses consecutive lists, and never if its service would have no live
+// endpoint left, so that an empty or truncated list can't remove all back ends.
 func (t *Tracker) Changes(current distribution.EndpointTable, list List) []distribution.Endpoint {
 	listed := map[endpointKey]bool{}
 	var changes []distribution.Endpoint
--- a/pkg/machinelist/machinelist_test.go
+++ b/pkg/machinelist/machinelist_test.go
@@ -27,7 +27,7 @@
 	return distribution.Endpoint{Service: "s", ID: id, Incarnation: 1, Address: "10.0.0.1:80"}
 }
 
-func TestUnchangedMachinesCauseNoChanges(t *testing.T) {
+func TestOnlyNewAndChangedMachinesCauseChanges(t *testing.T) {
 	is := is.New(t)
 	table := endpointTable(live("a"), live("b"))
 	list := List{Machines: []Machine{machine("a", 1, false), machine("b", 1, true), machine("c", 1, false), {Service: "s", ID: "bad", Address: "host:1"}}}
@@ -103,7 +103,7 @@
 	for range 3 {
 		list, err := reader.Read(context.Background())
 		is.NoErr(err)
-		is.Equal(len(list.Machines), 1) // Read returns the kept list again
+		is.Equal(len(list.Machines), 1) // Read returns the cached list
 	}
 	is.Equal(sent, 1)
 	etag = `"two"`
