--- a/pkg/operator/api.go
+++ b/pkg/operator/api.go
@@ -1,5 +1,5 @@
-// Package operator defines the requests of operators to the control plane, and a client that finds the
-// leader and retries safely.
+// Package operator defines the requests of operators to the control plane and its responses, and a client
+// that finds the leader and retries safely.
 package operator
 
 import (
@@ -26,7 +26,8 @@
 
 // CreateRequest creates a version. Exactly one of TOML, Source and FromVersion is set.
 type CreateRequest struct {
-	OperationID  string  `json:"operation_id"`
+	OperationID string `json:"operation_id"`
+	// ExpectedHead, if set, must be the number of the newest version, or the request is rejected.
 	ExpectedHead *uint64 `json:"expected_head,omitempty"`
 	// TOML is the text of a bundle file, FileName its name for error messages.
 	TOML     string `json:"toml,omitempty"`
@@ -35,7 +36,8 @@
 	Source string `json:"source,omitempty"`
 	// FromVersion is the earlier version whose content is copied.
 	FromVersion uint64 `json:"from_version,omitempty"`
-	// HandBack, if set, replaces the field of the content.
+	// HandBack, if set, replaces the content's HandBack, which sends the calls of each route that has a
+	// HandBackService to that service.
 	HandBack *bool `json:"hand_back,omitempty"`
 }
 
@@ -63,24 +65,27 @@
 
 // VersionSummary describes one version in a VersionList.
 type VersionSummary struct {
-	Manifest       bundle.Manifest `json:"manifest"`
-	Status         catalog.Status  `json:"status"`
-	KeyID          string          `json:"key_id,omitempty"`
-	HandBack       bool            `json:"hand_back,omitempty"`
-	CreatedMillis  int64           `json:"created_millis"`
-	ApprovedMillis int64           `json:"approved_millis,omitempty"`
-	RolledMillis   int64           `json:"rolled_millis,omitempty"`
+	Manifest bundle.Manifest `json:"manifest"`
+	Status   catalog.Status  `json:"status"`
+	KeyID    string          `json:"key_id,omitempty"`
+	// HandBack is set if the version's routes use their HandBackService. It is not set once the version's
+	// content is no longer stored.
+	HandBack       bool  `json:"hand_back,omitempty"`
+	CreatedMillis  int64 `json:"created_millis"`
+	ApprovedMillis int64 `json:"approved_millis,omitempty"`
+	RolledMillis   int64 `json:"rolled_millis,omitempty"`
 }
 
 // VersionList is the response to a request for all versions, newest first.
 type VersionList struct {
+	// Head is the number of the newest version, Active that of the version that nodes use; zero for none.
 	Head     uint64           `json:"head"`
 	Active   uint64           `json:"active"`
 	Versions []VersionSummary `json:"versions"`
 }
 
-// ReplicaStatus describes one control replica as the leader sees it. Match is its last log index known to be
-// replicated.
+// ReplicaStatus describes one control replica as the leader sees it. Match is the highest log index known to
+// be durable on it.
 type ReplicaStatus struct {
 	Name    string `json:"name"`
 	ID      uint64 `json:"id"`
@@ -98,26 +103,30 @@
 	Term    uint64 `json:"term"`
 	Commit  uint64 `json:"commit"`
 	// DurableCopies is the number of voters, out of Voters, that store all committed entries.
-	DurableCopies int             `json:"durable_copies"`
-	Voters        int             `json:"voters"`
-	Head          uint64          `json:"head"`
-	Active        uint64          `json:"active"`
-	Staged        uint64          `json:"staged"`
-	Revision      uint64          `json:"revision"`
-	LogBytes      int64           `json:"log_bytes"`
-	Replicas      []ReplicaStatus `json:"replicas"`
+	DurableCopies int `json:"durable_copies"`
+	Voters        int `json:"voters"`
+	// Head is the number of the newest version, Active that of the version that nodes use, Staged that of an
+	// approved version that may become active next; zero for none.
+	Head   uint64 `json:"head"`
+	Active uint64 `json:"active"`
+	Staged uint64 `json:"staged"`
+	// Revision is the number of changes of the distributed state.
+	Revision uint64          `json:"revision"`
+	LogBytes int64           `json:"log_bytes"`
+	Replicas []ReplicaStatus `json:"replicas"`
 	// PlatformError is the error of the latest read of the platform's list, empty if it succeeded.
 	PlatformError string `json:"platform_error,omitempty"`
 }
 
 // Suspect describes a request that was in flight at back ends when they crashed.
 type Suspect struct {
-	// Fingerprint is the short form that logs show.
+	// Fingerprint is the shortened hash that identifies the request, as in logs.
 	Fingerprint string `json:"fingerprint"`
 	// Standing is the state of the request: nodes reject it if quarantined, and observe it if watched.
 	// Otherwise it isn't on their watchlist.
 	Standing string `json:"standing"`
-	// Ends are the crashes of back ends, the newest last. Void ones don't count because a response followed.
+	// Ends are the crashes while the request was in flight, newest last. Those with Void set don't count,
+	// because a back end responded later or a trial after a quarantine began.
 	Ends []quarantine.End `json:"ends"`
 	// Terms is how often a quarantine of the request has expired.
 	Terms int `json:"terms"`
@@ -130,9 +139,11 @@
 
 // Node describes one node by the latest report that a control replica received.
 type Node struct {
-	Name      string `json:"name"`
-	Group     string `json:"group"`
-	Zone      string `json:"zone"`
+	Name  string `json:"name"`
+	Group string `json:"group"`
+	Zone  string `json:"zone"`
+	// Active and Staged are the numbers of the versions that the node holds, zero for none; Revision is that
+	// of its state.
 	Active    uint64 `json:"active"`
 	Staged    uint64 `json:"staged"`
 	Revision  uint64 `json:"revision"`
@@ -178,7 +189,8 @@
 	Burst    float64  `json:"burst"`
 	Priority int      `json:"priority"`
 	Regions  []string `json:"regions,omitempty"`
-	// Asked is the rate of calls per second at all nodes, Used the number admitted during the last window.
+	// Asked is the recent rate of calls per second at all nodes, including rejected ones; Used is the number
+	// of calls admitted during the last window.
 	Asked float64 `json:"asked"`
 	Used  float64 `json:"used"`
 	// Limited is set while nodes enforce Allotted, in calls per second.
--- a/pkg/operator/client.go
+++ b/pkg/operator/client.go
@@ -15,7 +15,7 @@
 	"bramblelift/pkg/catalog"
 )
 
-// Bounds of the client.
+// Limits and timeouts of a Client.
 const (
 	maxResponseBytes = 64 << 20
 	// firstAttemptTimeout bounds the first request to each replica, so that an unresponsive one doesn't
--- a/pkg/operator/client_test.go
+++ b/pkg/operator/client_test.go
@@ -29,7 +29,8 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// Guards against a pause between followers, which delayed every request that didn't reach the leader first.
+// The client must not pause before it has tried every replica: a pause would delay each request that doesn't
+// reach the leader first.
 func TestClientTriesEveryReplicaBeforeItPauses(t *testing.T) {
 	is := is.New(t)
 	client := NewClient([]string{startReplica(t, false), startReplica(t, false), startReplica(t, true)})
@@ -37,7 +38,7 @@
 	started := time.Now()
 	is.NoErr(client.Do(context.Background(), http.MethodGet, PathVersions, nil, &list))
 	is.Equal(list.Head, uint64(7))
-	is.True(time.Since(started) < retryPause) // no pause before every replica was asked
+	is.True(time.Since(started) < retryPause) // no pause before every replica was tried
 }
 
 func TestClientStopsWhenContextEnds(t *testing.T) {
--- a/pkg/operator/rollout.go
+++ b/pkg/operator/rollout.go
@@ -21,7 +21,7 @@
 	Duration time.Duration `json:"duration"`
 }
 
-// Rollout describes a service's newest rollout.
+// Rollout describes a rollout of a service at one step.
 type Rollout struct {
 	rollout.Rollout
 	// State is the name of the phase, Granted the number of calls that gates of the new version were
@@ -40,6 +40,8 @@
 // RolloutSide sums the reports of the gates of the old or the new version since the order.
 type RolloutSide struct {
 	Admitted uint64 `json:"admitted,omitempty"`
+	// Answered counts successful responses, Failed errors of the back ends and calls without a response within
+	// their timeout. Calls that the caller abandoned count as neither.
 	Answered uint64 `json:"answered"`
 	Failed   uint64 `json:"failed"`
 	// Median is the median response time, rounded up to a bucket boundary of the gates' histograms.
