--- a/pkg/catalog/catalog.go
+++ b/pkg/catalog/catalog.go
@@ -274,8 +274,8 @@
 	version.Status = StatusActive
 }
 
-// usableVersion returns a version that may be approved or rolled: it exists, is not superseded and has its
-// content.
+// usableVersion returns the version if it exists, is not superseded and has its content; otherwise it returns
+// the rejection.
 func (c *Catalog) usableVersion(number uint64) (*Version, *Result) {
 	version, found := c.Versions[number]
 	if !found {
--- a/pkg/catalog/catalog_test.go
+++ b/pkg/catalog/catalog_test.go
@@ -125,8 +125,8 @@
 	return content.Normalized()
 }
 
-// Guards against logs and snapshots that grow by a whole bundle with each version: consecutive
-// bundles must be stored as compressed deltas.
+// Logs and snapshots must not grow by a whole bundle with each version: consecutive bundles are stored
+// as compressed deltas.
 func TestConsecutiveBundlesAreStoredAsDeltas(t *testing.T) {
 	is := is.New(t)
 	const routes, versions = 400, 30
@@ -157,7 +157,7 @@
 	is.NoErr(err)
 	document, err := deflate.UnpackRecord(record, maxRecord)
 	is.NoErr(err)
-	is.True(len(document) < 2*first) // one full content and the deltas
+	is.True(len(document) < 2*first) // it holds one full content and the deltas
 	is.True(len(record) < len(document)/5)
 	restored, err := Restore(record)
 	is.NoErr(err)
--- a/pkg/catalog/command.go
+++ b/pkg/catalog/command.go
@@ -134,7 +134,8 @@
 	CodeInvalidRequest Code = "invalid-request"
 	// CodeSource: the configuration source could not be fetched.
 	CodeSource Code = "source-unavailable"
-	// CodeUnavailable: no leader is available; retry later.
+	// CodeUnavailable: the request cannot be served at present, for example without a leader or during
+	// an upgrade; retry later.
 	CodeUnavailable Code = "unavailable"
 	// CodeUnknownOutcome: leadership was lost while the command was in flight. Resend it with the
 	// same operation ID to learn the outcome.
--- a/pkg/catalog/large_test.go
+++ b/pkg/catalog/large_test.go
@@ -97,8 +97,7 @@
 	return c
 }
 
-// Guards against superseded contents that fill a replica's memory: their total size and their number
-// are bounded.
+// Superseded contents must not fill a replica's memory: their total size and their number are bounded.
 func TestKeptContentsAreBoundedBySize(t *testing.T) {
 	is := is.New(t)
 	countKept := func(routes, versions int) (count int) {
--- a/pkg/catalog/level.go
+++ b/pkg/catalog/level.go
@@ -47,7 +47,7 @@
 	if len(content.Tenants) > 0 || slices.ContainsFunc(content.Routes, func(r bundle.Route) bool { return r.Public }) {
 		return LevelTenants
 	}
-	if slices.ContainsFunc(content.Routes, needsOrdersLevel) || slices.ContainsFunc(content.Services, hasOptionalFields) {
+	if slices.ContainsFunc(content.Routes, needsOrdersLevel) || slices.ContainsFunc(content.Services, usesHealthOrColdStart) {
 		return LevelOrders
 	}
 	return LevelBase
@@ -57,7 +57,7 @@
 	return len(route.Regions) > 0 || route.Kind == bundle.KindDownload
 }
 
-func hasOptionalFields(service bundle.Service) bool {
+func usesHealthOrColdStart(service bundle.Service) bool {
 	return service.HealthPath != "" || service.ColdStart != 0 || service.ColdRate != 0
 }
 
@@ -65,7 +65,7 @@
 // health paths and the limits of cold back ends. Fields that calls must not be served without, such as
 // a route's regions and kind, are kept, and the result may still require a higher level.
 func WithoutHints(content bundle.Content, level Level) bundle.Content {
-	if level >= LevelOrders || !slices.ContainsFunc(content.Services, hasOptionalFields) {
+	if level >= LevelOrders || !slices.ContainsFunc(content.Services, usesHealthOrColdStart) {
 		return content
 	}
 	content.Services = slices.Clone(content.Services)
--- a/pkg/catalog/orders_test.go
+++ b/pkg/catalog/orders_test.go
@@ -12,7 +12,7 @@
 	"github.com/matryer/is"
 )
 
-// Guards against orders that are lost at a change of leader or a restart from a snapshot.
+// Orders must survive a change of leader and a restart from a snapshot.
 func TestOrdersSurviveSnapshots(t *testing.T) {
 	is := is.New(t)
 	c := New()
@@ -70,8 +70,8 @@
 	is.Equal(WithoutHints(withRegions, LevelSuspects), withRegions) // calls must not be served without them
 }
 
-// Guards against content fields that are added without a level: replicas of an earlier release would drop
-// them and compute other digests.
+// A content field must not be added without a level: replicas of an earlier release would drop it and
+// compute other digests.
 func TestEveryContentFieldHasALevel(t *testing.T) {
 	is := is.New(t)
 	base := map[reflect.Type][]string{
--- a/pkg/catalog/snapshot.go
+++ b/pkg/catalog/snapshot.go
@@ -48,10 +48,11 @@
 	Staged    *savedBundle               `json:"staged,omitempty"`
 	Recent    []savedBundle              `json:"recent,omitempty"`
 	Endpoints distribution.EndpointTable `json:"endpoints,omitempty"`
-	Horizon   uint64                     `json:"horizon,omitempty"`
-	Suspects  *quarantine.Table          `json:"suspects,omitempty"`
-	Watchlist *quarantine.Watchlist      `json:"watchlist,omitempty"`
-	Orders    *orders.Table              `json:"orders,omitempty"`
+	// Horizon is the revision up to which tombstones of endpoints may have been dropped.
+	Horizon   uint64                `json:"horizon,omitempty"`
+	Suspects  *quarantine.Table     `json:"suspects,omitempty"`
+	Watchlist *quarantine.Watchlist `json:"watchlist,omitempty"`
+	Orders    *orders.Table         `json:"orders,omitempty"`
 }
 
 // Snapshot encodes the catalog for Restore.
--- a/pkg/catalog/suspects_test.go
+++ b/pkg/catalog/suspects_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// Guards against quarantines that are lost at a change of leader or a restart from a snapshot: the
-// requests would crash back ends again.
+// Quarantines must survive a change of leader and a restart from a snapshot. Otherwise the requests would
+// crash back ends again.
 func TestQuarantineSurvivesSnapshots(t *testing.T) {
 	is := is.New(t)
 	c := New()
