--- a/pkg/distribution/distribution_test.go
+++ b/pkg/distribution/distribution_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-// acceptAllApprovals accepts every approval.
+// acceptAllApprovals is an ApprovalVerifier for tests that need no signatures.
 type acceptAllApprovals struct{}
 
 func (acceptAllApprovals) Verify(bundle.Manifest, bundle.Approval) error { return nil }
@@ -55,7 +55,7 @@
 	}
 }
 
-// Guards against updates that skip changes: one update must bring a holder from any earlier state to
+// An update must not skip changes: one update must bring a holder from any earlier state to
 // exactly the state that its group needs.
 func TestHoldersConvergeToNewestState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
