--- a/pkg/bundle/content.go
+++ b/pkg/bundle/content.go
@@ -192,8 +192,8 @@
 	fmt.Fprintf(state, "secret %s (digest %s)", s.Name, s.ShortDigest())
 }
 
-// Content is a set of routes with the services and secrets that they use, and the tenants. Each list is
-// sorted by name.
+// Content is the configuration in a bundle or scope. Normalized sorts its lists by name, which the other
+// methods expect.
 type Content struct {
 	// HandBack sends the calls of every route that has a HandBackService to that service.
 	HandBack bool      `toml:"hand_back,omitempty" json:"hand_back,omitempty"`
--- a/pkg/bundle/hasher.go
+++ b/pkg/bundle/hasher.go
@@ -79,7 +79,7 @@
 	Limits   Limits
 }
 
-// leaf returns the digest of a scope's name and content: of the head as JSON and the digests of the
+// leaf returns the digest of a scope's leaf: the hash of its leafHead as JSON and of the digests of its
 // lists.
 func (h *Hasher) leaf(scope string, scoped Content) (Digest, error) {
 	head, err := json.Marshal(leafHead{Scope: scope, HandBack: scoped.HandBack, Limits: scoped.Limits})
--- a/pkg/bundle/hasher_test.go
+++ b/pkg/bundle/hasher_test.go
@@ -66,8 +66,8 @@
 	v.Set(old)
 }
 
-// Guards against a field that the comparison of items omits: the cached digest would make a modified
-// bundle pass as approved.
+// The comparison of items must omit no field: the cached digest would make a modified bundle pass as
+// approved.
 func TestHasherDetectsChangeOfEachField(t *testing.T) {
 	is := is.New(t)
 	c := Content{
@@ -127,7 +127,7 @@
 	})
 }
 
-// Guards against the rejection of stored bundles whose digests have the legacy format.
+// Stored bundles whose digests have the legacy format must not be rejected.
 func TestLegacyDigestsAreAccepted(t *testing.T) {
 	is := is.New(t)
 	c := contentWithRoutes(7)
--- a/pkg/bundle/tenant_test.go
+++ b/pkg/bundle/tenant_test.go
@@ -68,8 +68,8 @@
 	is.Equal(old.Tenants[0].Keys, []Digest{DigestKey("1")}) // Apply did not modify the old content
 }
 
-// Guards against an incompatible digest of contents without tenants: replicas of earlier releases would
-// reject them.
+// The digest of a content without tenants must stay compatible: replicas of earlier releases would reject
+// any other.
 func TestDigestWithoutTenantsIsCompatible(t *testing.T) {
 	is := is.New(t)
 	plain, err := NewTree(withTenants())
@@ -80,7 +80,7 @@
 	is.True(withOne.Root() != plain.Root())
 }
 
-// Guards against tenants' keys in stored or displayed contents, which must contain digests only.
+// Stored and displayed contents must contain digests of tenants' keys, never the keys.
 func TestEncodedContentContainsNoTenantKey(t *testing.T) {
 	is := is.New(t)
 	const key = "x42q492cqf75rjvz48wu"
--- a/pkg/bundle/validate.go
+++ b/pkg/bundle/validate.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Limits on the size of a bundle and on the values in it.
+// These constants limit the size of a bundle and the values in it.
 const (
 	maxNameLength   = 200
 	maxRoutes       = 20000
@@ -186,14 +186,14 @@
 				v.add("route", route.Name, "source %q is not a usable node group", group)
 			}
 		}
-		v.checkCallPolicy(route)
+		v.checkRouteFields(route)
 		v.checkReferences(c, route)
 	}
 	v.checkDuplicateMatches(c.Routes)
 }
 
-// checkCallPolicy checks the fields of a route that control how its calls are handled.
-func (v *validator) checkCallPolicy(route Route) {
+// checkRouteFields checks a route's host, kind, limits, regions and shares.
+func (v *validator) checkRouteFields(route Route) {
 	if !route.Kind.Known() {
 		v.add("route", route.Name, "kind %q is none of safe, unsafe, upload and download", route.Kind)
 	}
