--- a/pkg/stream/client_session.go
+++ b/pkg/stream/client_session.go
@@ -289,8 +289,8 @@
 	return nil
 }
 
-// handleQuotas handles shares that the server pushed. Their transit time is unknown, so they are
-// dated by the last answered ping.
+// handleQuotas handles shares that the server pushed. Their transit time is unknown, so their age counts
+// from when the last answered ping was sent.
 func (s *clientSession) handleQuotas() error {
 	var shares quota.Shares
 	if err := s.conn.Decode(&shares); err != nil {
--- a/pkg/stream/hub_test.go
+++ b/pkg/stream/hub_test.go
@@ -89,8 +89,8 @@
 	return pong
 }
 
-// Guards against a hub that claims a fresher state than it has: a node without a disk would start
-// on an old version, and nodes would stay at a server that is cut off.
+// A hub must not claim a fresher state than it has: a node without a disk would start on an old version,
+// and nodes would stay at a server that is cut off.
 func TestHubReportsStaleness(t *testing.T) {
 	is := is.New(t)
 	f := newHubFixture(t)
@@ -132,7 +132,7 @@
 	is.Equal(f.announced, []protocol.Announce{{Endpoints: []distribution.Endpoint{endpoint}, Evidence: evidence}})
 }
 
-// Guards against a list update that moves a client off its server or forgets failure marks.
+// A new list of servers must neither move a client off its server nor drop failure marks.
 func TestNewCandidateListKeepsFailureState(t *testing.T) {
 	is := is.New(t)
 	config := DefaultSelectorConfig()
@@ -165,7 +165,7 @@
 }
 
 // A version must be in force 2 s after its acknowledgement, also on a node whose server was cut off
-// just before. The default configuration allows 8 s.
+// just before. That takes a shorter StaleLimit than the default.
 func TestClientLeavesStaleServerWithinDeadline(t *testing.T) {
 	is := is.New(t)
 	const pingInterval, inForce, resubscribe = 400 * time.Millisecond, 2 * time.Second, 200 * time.Millisecond
--- a/pkg/stream/nearer.go
+++ b/pkg/stream/nearer.go
@@ -11,9 +11,9 @@
 	// In a starting cluster they become known one by one, and the first must not receive every
 	// client of its zone.
 	nearMoveDelay = time.Second
-	// nearRecoveryTime is how long after its failure mark expires a server of the own zone becomes
-	// eligible for a move again. Returning to a server that has not recovered costs a detection
-	// timeout.
+	// nearRecoveryTime is the additional time for which a server of the own zone is not eligible for a
+	// move after its failure mark has expired. A client that moves to a server which is still down loses
+	// the time until it detects that.
 	nearRecoveryTime = 10 * time.Second
 )
 
--- a/pkg/stream/nearer_test.go
+++ b/pkg/stream/nearer_test.go
@@ -36,7 +36,7 @@
 	is.True(!s.Nearer(now + time.Minute)) // already in its zone
 }
 
-// Guards against returning to a failed server of the own zone before it can have recovered.
+// A client must not return to a failed server of the own zone before that can have recovered.
 func TestFailedOwnZoneServerIsAvoidedUntilRecovered(t *testing.T) {
 	is := is.New(t)
 	config := DefaultSelectorConfig()
@@ -161,7 +161,7 @@
 	is.Equal(near.opened.Load(), int64(2))
 }
 
-// Guards against clients that are only redirected using up the admission tokens of those that stay.
+// Clients that are only redirected must not use up the admission tokens of those that stay.
 func TestRedirectedClientsUseNoAdmissionTokens(t *testing.T) {
 	is := is.New(t)
 	f := newHubFixture(t)
--- a/pkg/stream/reconnect_test.go
+++ b/pkg/stream/reconnect_test.go
@@ -10,8 +10,7 @@
 	"github.com/matryer/is"
 )
 
-// Guards against reporting a node as disconnected when its old connection ends after it has
-// reconnected.
+// A node that has reconnected must not be reported as disconnected when its old connection ends.
 func TestReconnectedNodeStaysConnectedWhenOldConnectionEnds(t *testing.T) {
 	is := is.New(t)
 	reports := map[string]protocol.NodeReport{}
--- a/pkg/stream/selector.go
+++ b/pkg/stream/selector.go
@@ -39,9 +39,8 @@
 	Random func() float64
 }
 
-// DefaultSelectorConfig returns a configuration for round trips of up to about 100 ms. With it, a
-// client whose server is silent or stale is current at another server within the 8 s in which an
-// accepted version must be in force.
+// DefaultSelectorConfig returns a configuration for round trips of up to about 100 ms. It suits clusters in
+// which an accepted version may take up to 8 s to be in force at a client whose server is silent or stale.
 func DefaultSelectorConfig() SelectorConfig {
 	return SelectorConfig{
 		FirstBackoff: 100 * time.Millisecond,
@@ -52,16 +51,16 @@
 	}
 }
 
-// badMemoryStaleLimits is BadMemory in multiples of StaleLimit: long enough to try the other
-// servers, short enough to return soon to one that has recovered.
-const badMemoryStaleLimits = 1.6
+// failureMarkFactor is the ratio of BadMemory to StaleLimit. It leaves a client enough time to try the
+// other servers, and lets it return soon to one that has recovered.
+const failureMarkFactor = 1.6
 
 // SelectorConfigFor returns the default configuration adapted to a limit on the staleness of a
 // server.
 func SelectorConfigFor(staleLimit time.Duration) SelectorConfig {
 	config := DefaultSelectorConfig()
 	config.StaleLimit = staleLimit
-	config.BadMemory = time.Duration(badMemoryStaleLimits * float64(staleLimit))
+	config.BadMemory = time.Duration(failureMarkFactor * float64(staleLimit))
 	return config
 }
 
@@ -88,8 +87,8 @@
 	moveAt time.Duration
 }
 
-// NewSelector returns a selector that prefers near candidates. The order within each zone class is
-// random, which spreads clients over the servers.
+// NewSelector returns a selector that prefers near candidates. The order among the near candidates and among
+// the others is random, which spreads clients over the servers.
 func NewSelector(config SelectorConfig, candidates []Candidate) *Selector {
 	s := &Selector{config: config}
 	s.candidates = s.orderByZone(candidates)
@@ -227,7 +226,7 @@
 	return s.Starting && !s.Confirmed && !s.Behind && s.Open <= limit
 }
 
-// Heard records the server's standing after a Pong. It reports whether to leave the server: it is
+// Heard records the server's condition after a Pong. It reports whether to leave the server: it is
 // behind and there is another candidate, or it is stale and another is not marked as failed.
 func (s *Selector) Heard(now time.Duration, standing Standing) (leave bool) {
 	s.mu.Lock()
--- a/pkg/stream/server_move_test.go
+++ b/pkg/stream/server_move_test.go
@@ -33,8 +33,8 @@
 	return listener.Addr().String(), dialled
 }
 
-// Guards against a client that drops its subscription before the nearer server accepts it and
-// misses updates while it dials.
+// A client must not drop its subscription before the nearer server accepts it: it would miss updates
+// while it dials.
 func TestClientStaysConfirmedUntilNearerServerAnswers(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/pkg/stream/stale_server_test.go
+++ b/pkg/stream/stale_server_test.go
@@ -54,8 +54,8 @@
 	return h
 }
 
-// Guards against a client that drops a stale server before another one accepts it: it would miss
-// the updates that the server receives when a partition heals.
+// A client must not drop a stale server before another one accepts it: it would miss the updates that
+// the stale server receives when a partition heals.
 func TestClientKeepsStaleServerUntilAnotherIsReachable(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -71,7 +71,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	is.True(dialled.Load() > 0)              // it dials another server
-	is.Equal(client.Server(), stale.address) // and keeps the stale one
+	is.Equal(client.Server(), stale.address) // the client keeps the stale one
 	stale.SetState(&distribution.State{Revision: 2, Endpoints: distribution.EndpointTable{}})
 	for deadline := time.Now().Add(pipeTimeout / 2); client.target.Position().Revision < 2 && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
@@ -96,8 +96,7 @@
 	is.Equal(client.Server(), fresh.address)
 }
 
-// Guards against clients that can never connect over a saturated link because every dial times out
-// early.
+// A client must be able to connect over a saturated link, on which every dial with a short timeout fails.
 func TestDialTimeoutGrowsAfterRepeatedFailures(t *testing.T) {
 	is := is.New(t)
 	c := &Client{config: ClientConfig{DialTimeout: 400 * time.Millisecond}}
@@ -128,7 +127,7 @@
 	is.True(!known)
 }
 
-// Guards against a logged reason that names staleness from which the server has recovered.
+// The logged reason for a move must not name staleness from which the server has recovered.
 func TestMoveReasonReflectsCurrentState(t *testing.T) {
 	is := is.New(t)
 	s := &clientSession{client: &Client{
--- a/pkg/stream/stream_test.go
+++ b/pkg/stream/stream_test.go
@@ -29,7 +29,7 @@
 	s.Failed(0, 0)
 	second, wait := s.Next(0)
 	is.Equal(second.Address, "far")
-	is.True(wait <= 200*time.Millisecond) // short pause before another server
+	is.True(wait <= 200*time.Millisecond) // the pause before another server is short
 }
 
 func TestSelectorBacksOffWhenAllAreBad(t *testing.T) {
