--- a/pkg/exchange/delivery_test.go
+++ b/pkg/exchange/delivery_test.go
@@ -89,7 +89,7 @@
 	return n, err
 }
 
-// Guards against counting a write only after it returns: the peer may respond earlier.
+// A write must be counted before it returns, since the peer may respond earlier.
 func TestRequestMayHaveArrivedBeforeWriteReturns(t *testing.T) {
 	is := is.New(t)
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
--- a/pkg/exchange/exchange.go
+++ b/pkg/exchange/exchange.go
@@ -30,7 +30,7 @@
 	HeaderPriority = "Gate-Priority"
 	// HeaderWait is how many milliseconds a call may queue at a gate.
 	HeaderWait = "Gate-Wait-Ms"
-	// HeaderEarly is how many milliseconds remain in which a refusal is most useful to the caller.
+	// HeaderEarly is for how many more milliseconds a refusal leaves the caller time to retry elsewhere.
 	HeaderEarly = "Gate-Early-Ms"
 	// HeaderTarget is how many milliseconds remain until the call's target latency, zero if it has
 	// passed.
@@ -94,7 +94,7 @@
 	Unknown Outcome = "unknown"
 )
 
-// Reason is why a gate has no response from its back end.
+// Reason is why a gate refused a call or why an attempt at its back end failed.
 type Reason string
 
 const (
--- a/pkg/exchange/pacer.go
+++ b/pkg/exchange/pacer.go
@@ -22,7 +22,8 @@
 )
 
 // Pacer spreads large bodies over time, so that small messages on a narrow link are sent between
-// their pieces instead of queueing behind whole bodies. It is safe for concurrent use.
+// their pieces instead of queueing behind whole bodies. The link time of a body is how long its bytes take
+// at the paced rate. A Pacer is safe for concurrent use.
 type Pacer struct {
 	// rate returns the total rate of all paced bodies in bytes per second.
 	rate       func(now time.Duration) float64
