--- a/pkg/protocol/protocol.go
+++ b/pkg/protocol/protocol.go
@@ -24,7 +24,7 @@
 // Version is the version of this protocol. Peers with another version are refused.
 const Version = 1
 
-// Kinds of frames.
+// These constants are the kinds of frames.
 const (
 	KindHello wire.Kind = iota + 1
 	KindWelcome
@@ -102,7 +102,7 @@
 	Zone    string
 }
 
-// RefusalReason is the reason of a Refusal.
+// RefusalReason is why a connection is refused or ended.
 type RefusalReason uint8
 
 const (
@@ -177,8 +177,8 @@
 	Stale time.Duration
 	// Servers is the list of servers, sent only when it has changed since the last one sent.
 	Servers []Server
-	// Quotas are the shares of the tenants in the Ping's report and of limited ones; nil if they
-	// are not known.
+	// Quotas are the shares of the tenants in the Ping's report and of those whose limit is being
+	// enforced (quota.Share.Limited); nil if they are not known.
 	Quotas *quota.Shares
 }
 
@@ -213,8 +213,8 @@
 	Forwarded bool
 }
 
-// Announce forwards the announcements of nodes to the leader: back ends, evidence about requests
-// that crash them, and rollout reports.
+// Announce carries announcements of subscribers, and messages between replicas. Back ends, evidence about
+// requests that crash them, and rollout reports are forwarded to the leader.
 type Announce struct {
 	Endpoints []distribution.Endpoint
 	Evidence  *quarantine.Evidence
