--- a/pkg/relay/relay.go
+++ b/pkg/relay/relay.go
@@ -26,7 +26,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Bounds of the daemon.
+// These constants are the timeouts and admission limits of a relay.
 const (
 	handshakeTimeout = 3 * time.Second
 	writeTimeout     = 3 * time.Second
@@ -126,12 +126,13 @@
 	return announced
 }
 
-// forwardQuotas pushes shares from the control plane to the nodes. requestedAt is the send time of
-// the ping by which they are dated.
+// forwardQuotas pushes shares from the control plane to the nodes. requestedAt is the time from which
+// their age counts: when the answered ping was sent.
 func (s *Server) forwardQuotas(requestedAt time.Duration, shares quota.Shares) {
 	now := s.clock.Elapsed()
 	shares.Age += now - requestedAt
-	// Replicas send only the shares of limited tenants and of those in the relay's report.
+	// Replicas send only the shares of tenants whose limit is being enforced (quota.Share.Limited) and of
+	// those in the relay's report.
 	shares.Partial = true
 	s.hub.PushQuotas(s.quotas.Hear(now, shares))
 }
@@ -154,7 +155,7 @@
 	return nil
 }
 
-// Current implements stream.Target.
+// Current implements stream.Target. It advances the revision of a state that has not changed.
 func (s *Server) Current(revision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -168,7 +169,7 @@
 // change of server, because the new server has none of them.
 func (s *Server) takeReports() []protocol.NodeReport {
 	server := s.client.Server()
-	if s.reports.switchServer(server) {
+	if s.reports.recordServer(server) {
 		s.reports.discard()
 		return s.hub.Reports()
 	}
--- a/pkg/relay/reports.go
+++ b/pkg/relay/reports.go
@@ -40,9 +40,9 @@
 	clear(q.reports)
 }
 
-// switchServer records the server that receives the reports; it reports whether the server has
+// recordServer records the server that receives the reports; it reports whether the server has
 // changed.
-func (q *reportQueue) switchServer(server string) bool {
+func (q *reportQueue) recordServer(server string) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	changed := q.server != server
