--- a/pkg/deflate/deflate.go
+++ b/pkg/deflate/deflate.go
@@ -11,9 +11,9 @@
 	"io"
 )
 
-// MinSize is the size in bytes from which data is compressed. Below it, compression costs more
-// processor time than the saved bytes are worth.
-const MinSize = 4 << 10
+// minRecordSize is the size in bytes from which PackRecord compresses a document. Below it, compression
+// costs more processor time than the saved bytes are worth.
+const minRecordSize = 4 << 10
 
 // ErrTooLarge reports data that would expand beyond the limit.
 var ErrTooLarge = errors.New("expanded data exceeds the bound")
--- a/pkg/deflate/deflate_test.go
+++ b/pkg/deflate/deflate_test.go
@@ -26,7 +26,7 @@
 	})
 }
 
-// Guards against small frames that expand until memory is exhausted.
+// A small frame must not expand until memory is exhausted.
 func TestExpandRejectsDataOverLimit(t *testing.T) {
 	is := is.New(t)
 	compressed, err := Compress(make([]byte, testLimit+1))
@@ -39,7 +39,7 @@
 
 func TestCorruptDataIsAnError(t *testing.T) {
 	is := is.New(t)
-	compressed, err := Compress([]byte(strings.Repeat("route ", MinSize)))
+	compressed, err := Compress([]byte(strings.Repeat("route ", minRecordSize)))
 	is.NoErr(err)
 	_, err = Expand(compressed[:len(compressed)/2], testLimit)
 	is.True(err != nil)
@@ -50,7 +50,7 @@
 func TestLargeRecordsAreCompressed(t *testing.T) {
 	is := is.New(t)
 	small := []byte(`{"roll":{"version":1}}`)
-	large := []byte(`{"routes":"` + strings.Repeat("r-1234 /path/ ", MinSize) + `"}`)
+	large := []byte(`{"routes":"` + strings.Repeat("r-1234 /path/ ", minRecordSize) + `"}`)
 	for _, document := range [][]byte{small, large} {
 		record, err := PackRecord(document)
 		is.NoErr(err)
@@ -66,7 +66,7 @@
 // Records written uncompressed by earlier releases must remain readable.
 func TestUncompressedRecordsAreRead(t *testing.T) {
 	is := is.New(t)
-	document := []byte(`{"routes":"` + strings.Repeat("r", MinSize) + `"}`)
+	document := []byte(`{"routes":"` + strings.Repeat("r", minRecordSize) + `"}`)
 	back, err := UnpackRecord(document, testLimit)
 	is.NoErr(err)
 	is.True(bytes.Equal(back, document))
--- a/pkg/deflate/record.go
+++ b/pkg/deflate/record.go
@@ -7,9 +7,9 @@
 const compressedPrefix = 0x01
 
 // PackRecord returns a record for a log or a snapshot, compressed if the document has at least
-// MinSize bytes.
+// minRecordSize bytes.
 func PackRecord(document []byte) ([]byte, error) {
-	if len(document) < MinSize {
+	if len(document) < minRecordSize {
 		return document, nil
 	}
 	compressed, err := Compress(document)
