--- a/pkg/proxy/keeper.go
+++ b/pkg/proxy/keeper.go
@@ -18,7 +18,7 @@
 // savedState is the content of the state file.
 type savedState struct {
 	distribution.State
-	// Level is the feature level of the release that saved the state. An earlier release omits data that
+	// Level is the compatibility level of the release that saved the state. An earlier release omits data that
 	// it does not know, though the revision covers it; such a node needs the full state again.
 	Level catalog.Level `json:"level"`
 }
--- a/pkg/proxy/keeper_test.go
+++ b/pkg/proxy/keeper_test.go
@@ -71,7 +71,7 @@
 	is.Equal(*inForce, []uint64{3})
 
 	restarted, inForce, _ := startKeeper(t, files)
-	is.Equal(*inForce, []uint64{3}) // without a connection to any server
+	is.Equal(*inForce, []uint64{3}) // the saved configuration is active without a connection
 	older := fullUpdate(t, 2)
 	older.To = 99 // a relay with a wrong revision
 	is.True(errors.Is(restarted.Apply(older), distribution.ErrOlder))
@@ -115,7 +115,7 @@
 	is.NoErr(os.WriteFile(filepath.Join(folder, stateFile), saved, 0o600))
 
 	k, inForce, _ := startKeeper(t, files)
-	is.Equal(*inForce, []uint64{1}) // without a connection to any server
+	is.Equal(*inForce, []uint64{1}) // the saved configuration is active without a connection
 	update, err := distribution.NewPlanner(controlState).Plan("shop", k.Position())
 	is.NoErr(err)
 	is.True(update != nil)
--- a/pkg/proxy/proxy.go
+++ b/pkg/proxy/proxy.go
@@ -35,7 +35,7 @@
 	"github.com/go-kit/log"
 )
 
-// Limits and timeouts of a node.
+// These constants are the limits and timeouts of a node.
 const (
 	// dialTimeout is short, since a machine that is down does not respond and another server can be
 	// tried.
@@ -54,7 +54,7 @@
 	// maxBufferedResponseBytes bounds the large responses buffered for callers that read slowly. Beyond
 	// it a response is streamed, which occupies its back end until the caller has read it.
 	maxBufferedResponseBytes = 24 << 20
-	// idleBeforeStop is for how long no call must have arrived before a stopping node closes.
+	// idleBeforeStop is how long a stopping node must receive no call before it closes.
 	idleBeforeStop = time.Second
 	minIdlePoll    = 100 * time.Millisecond
 	// maxStatusTenants bounds the tenants listed in /status, since there may be thousands.
