--- a/pkg/settings/dataplane.go
+++ b/pkg/settings/dataplane.go
@@ -32,7 +32,8 @@
 	// of the caller, to the tenant's name for the back end.
 	Key    string `toml:"key,omitempty"`
 	Tenant string `toml:"tenant,omitempty"`
-	// Cold, in responses of a back end's health path, is for how many more milliseconds the back end is cold.
+	// Cold is a header in responses of a back end's health path: the milliseconds until the back end has warmed up
+	// (bundle.Service.ColdStart).
 	Cold string `toml:"cold,omitempty"`
 }
 
--- a/pkg/settings/quotas.go
+++ b/pkg/settings/quotas.go
@@ -7,7 +7,8 @@
 	"bramblelift/pkg/quota"
 )
 
-// Quotas is how accurately all nodes together enforce tenants' limits. Zero values select defaults.
+// Quotas sets by how much the calls admitted by all nodes together may exceed tenants' limits. Zero values
+// select defaults.
 type Quotas struct {
 	// Window is the sliding window over which calls are counted: in any window all nodes together admit at most
 	// (rate x window + burst) x (1 + overage) + slack calls of a tenant. It must be the same for all processes.
--- a/pkg/settings/settings.go
+++ b/pkg/settings/settings.go
@@ -122,16 +122,16 @@
 	Listen string `toml:"listen"`
 	// Advertise is the address at which others reach Listen; defaults to Listen.
 	Advertise string `toml:"advertise,omitempty"`
-	// Replicas are all control replicas, including this one; an odd number. Only without Seeds.
+	// Replicas are all control replicas, including this one; an odd number. It must be empty if Seeds is set.
 	Replicas []Peer `toml:"replica"`
 	// Found lets this replica found a new cluster together with the other Seeds, if its data
 	// folder is empty and its address is among Seeds. Set it only at the first start of the
 	// deployment.
 	Found bool `toml:"found,omitempty"`
 	// RemoveAfter is how long a replica may be unreachable before it is removed from the
-	// membership; only with Seeds.
+	// membership. It applies only if Seeds is set.
 	RemoveAfter bundle.Duration `toml:"remove_after,omitempty"`
-	// ToleratedLosses is how many replicas may fail at the same time; only with Seeds.
+	// ToleratedLosses is how many replicas may fail at the same time. It applies only if Seeds is set.
 	ToleratedLosses int `toml:"tolerated_losses,omitempty"`
 	// PlatformURL is where the replica polls the platform's list of machines; empty for none.
 	PlatformURL      string          `toml:"platform_url"`
@@ -144,7 +144,7 @@
 	HeartbeatInterval bundle.Duration `toml:"heartbeat_interval"`
 	// Rollouts bounds the exposure of new versions of a service.
 	Rollouts Rollouts `toml:"rollouts,omitempty"`
-	// Quotas is how accurately tenants' limits are enforced.
+	// Quotas sets by how much calls may exceed the tenants' limits.
 	Quotas Quotas `toml:"quotas,omitempty"`
 }
 
@@ -184,7 +184,7 @@
 	Headers Headers `toml:"headers,omitempty"`
 	// Retries bounds the retries of calls.
 	Retries Retries `toml:"retries,omitempty"`
-	// Quotas is how accurately tenants' limits are enforced.
+	// Quotas sets by how much calls may exceed the tenants' limits.
 	Quotas Quotas `toml:"quotas,omitempty"`
 	// KeysStaleLimit is how old the configuration may be for calls that need a tenant's key, so that a
 	// partitioned node accepts a revoked key no longer than this. Zero for no bound.
