--- a/pkg/ctl/bundle.go
+++ b/pkg/ctl/bundle.go
@@ -156,6 +156,8 @@
 	return result, err
 }
 
+// handBackCommand activates a copy of the active version in which HandBack is set, so that the calls of each route
+// go to its hand_back_service, or is cleared.
 type handBackCommand struct {
 	Key     string `long:"key" required:"yes" value-name:"FILE" description:"private approval key"`
 	Cluster string `long:"cluster" required:"yes" description:"cluster that the approval is for"`
--- a/pkg/ctl/ctl.go
+++ b/pkg/ctl/ctl.go
@@ -51,7 +51,8 @@
 	context context.Context
 }
 
-// command is implemented by each subcommand.
+// command is implemented by each subcommand. go-flags requires an Execute method too, which does nothing: Main calls
+// run instead.
 type command interface {
 	run(s *session) error
 }
--- a/pkg/ctl/evacuate.go
+++ b/pkg/ctl/evacuate.go
@@ -101,8 +101,8 @@
 	return combineZoneStates(list.Zones, nodes), nil
 }
 
-// waitForZone prints each change until the gates of a zone have carried out the order. It also waits for back ends
-// whose node is disconnected, since they may still run calls.
+// waitForZone prints each change until the gates of a zone have carried out the order. When a zone closes, it also
+// waits for back ends whose node is disconnected, since they may still run calls.
 func (s *session) waitForZone(name string, open bool, start time.Time) error {
 	last := ""
 	for {
