--- a/pkg/explain/explain_test.go
+++ b/pkg/explain/explain_test.go
@@ -51,7 +51,7 @@
 	for _, l := range report.Around {
 		around = append(around, l.Process+" "+l.Event)
 	}
-	is.Equal(around, []string{"node-1 version_in_force", "node-2 backend"}) // no events of other back ends
+	is.Equal(around, []string{"node-1 version_in_force", "node-2 backend"}) // events of other back ends are left out
 }
 
 func TestUnknownRequestHasNoLines(t *testing.T) {
