--- a/pkg/daemon/daemon.go
+++ b/pkg/daemon/daemon.go
@@ -23,7 +23,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Exit codes of bramblelift.
+// These constants are the exit codes of bramblelift.
 const (
 	// ExitOK means that the process stopped gracefully, or completed a one-off command.
 	ExitOK = 0
@@ -134,9 +134,9 @@
 	return ExitUsage
 }
 
-// validateOrPrint returns the errors of loading and checking the settings at path. With
+// reportSettings returns the errors of loading and checking the settings at path. With
 // printOnly it prints valid settings as TOML. done reports whether the process must not start.
-func validateOrPrint(path string, loadErr, checkErr error, printOnly bool, config any, stdout io.Writer) (done bool, err error) {
+func reportSettings(path string, loadErr, checkErr error, printOnly bool, config any, stdout io.Writer) (done bool, err error) {
 	if loadErr != nil {
 		return true, fmt.Errorf("%w: %w", errUsage, loadErr)
 	}
@@ -156,7 +156,7 @@
 
 func (c *controlCommand) run(ctx context.Context, interfaces Interfaces, stdout io.Writer) error {
 	config, loadErr := c.load()
-	if done, err := validateOrPrint(c.Settings, loadErr, config.Check(), c.Check, config, stdout); done {
+	if done, err := reportSettings(c.Settings, loadErr, config.Check(), c.Check, config, stdout); done {
 		return err
 	}
 	if c.Init {
@@ -192,7 +192,7 @@
 	var config settings.Relay
 	loadErr := settings.Load(c.Settings, &config)
 	c.applyTo(&config.Common, &config.Listen)
-	if done, err := validateOrPrint(c.Settings, loadErr, config.Check(), c.Check, config, stdout); done {
+	if done, err := reportSettings(c.Settings, loadErr, config.Check(), c.Check, config, stdout); done {
 		return err
 	}
 	logger := logging.New(stdout, "relay", config.Name)
@@ -207,7 +207,7 @@
 
 func (c *proxyCommand) run(ctx context.Context, interfaces Interfaces, stdout io.Writer) error {
 	config, loadErr := c.load()
-	if done, err := validateOrPrint(c.Settings, loadErr, config.Check(), c.Check, config, stdout); done {
+	if done, err := reportSettings(c.Settings, loadErr, config.Check(), c.Check, config, stdout); done {
 		return err
 	}
 	logger := logging.New(stdout, "proxy", config.Name)
--- a/pkg/daemon/reload_test.go
+++ b/pkg/daemon/reload_test.go
@@ -28,6 +28,6 @@
 	<-reloads
 	cancel()
 	time.Sleep(50 * time.Millisecond)
-	is.NoErr(syscall.Kill(os.Getpid(), syscall.SIGHUP)) // would terminate the test if it were not caught
+	is.NoErr(syscall.Kill(os.Getpid(), syscall.SIGHUP)) // it would terminate the test if it were not caught
 	time.Sleep(50 * time.Millisecond)
 }
