--- a/pkg/logging/logging.go
+++ b/pkg/logging/logging.go
@@ -15,7 +15,7 @@
 	"github.com/go-kit/log"
 )
 
-// Limits of the log.
+// These constants bound the output of the log.
 const (
 	// maxLinesPerSecond bounds the lines written per second for one kind of event.
 	maxLinesPerSecond = 25
