--- a/pkg/catalog/orders_test.go
+++ b/pkg/catalog/orders_test.go
@@ -88,7 +88,7 @@
 		reflect.TypeFor[bundle.Share]():    {"Service", "Weight"},
 		reflect.TypeFor[bundle.Secret]():   {"Name", "Value"},
 	}
-	// The fields that requiredLevel checks.
+	// These are the fields that requiredLevel checks.
 	levelled := map[string]bool{"Route.Regions": true, "Service.HealthPath": true, "Service.ColdStart": true, "Service.ColdRate": true,
 		"Content.Tenants": true, "Route.Public": true}
 	for kind, known := range base {
