--- a/pkg/distribution/holder.go
+++ b/pkg/distribution/holder.go
@@ -7,7 +7,7 @@
 	"bramblelift/pkg/bundle"
 )
 
-// Errors of Holder.Apply, which leaves the held state unchanged.
+// Holder.Apply returns these errors and then leaves the held state unchanged.
 var (
 	// ErrRevisionGap: the update starts after the held revision. The holder must subscribe again.
 	ErrRevisionGap = errors.New("update starts after the held revision")
