--- a/pkg/exchange/exchange.go
+++ b/pkg/exchange/exchange.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Headers of the system.
+// These constants name the headers that nodes, gates and back ends exchange.
 const (
 	// HeaderOutcome carries the Outcome of a refused call; nodes, gates and back ends set it.
 	HeaderOutcome = "Request-Outcome"
