--- a/pkg/proxy/drain.go
+++ b/pkg/proxy/drain.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// drainPollInterval is the interval at which drain checks for calls in flight, and drainIdleTime is
-	// for how long there must be none: a call is counted only once its headers have been read.
+	// drainPollInterval is the interval at which drain checks for calls in flight. drainIdleTime is how long
+	// no call must be in flight, since a call is counted only once its headers have been read.
 	drainPollInterval = 25 * time.Millisecond
 	drainIdleTime     = 150 * time.Millisecond
 )
--- a/pkg/proxy/proxy.go
+++ b/pkg/proxy/proxy.go
@@ -84,8 +84,8 @@
 	inFlight       inFlightCalls
 	stopping       atomic.Bool
 	saveFailed     chan error
-	// lastCallAt is the arrival of the last call, stopsAt the time until which calls must have ended, zero
-	// unless the node is stopping. Both are readings of clock.
+	// lastCallAt is when the last call arrived. stopsAt is when all calls must have ended, zero unless the
+	// node is stopping. Both are readings of clock.
 	lastCallAt atomic.Int64
 	stopsAt    atomic.Int64
 
