--- a/pkg/settings/dataplane.go
+++ b/pkg/settings/dataplane.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Defaults of the data plane: timeouts, retries and the names of headers.
+// These constants are the default timeouts, retry ratio and header names of the data plane.
 const (
 	defaultStopTimeout            = 30 * time.Second
 	defaultCallerNotice           = 700 * time.Millisecond
--- a/pkg/settings/settings.go
+++ b/pkg/settings/settings.go
@@ -207,7 +207,7 @@
 	StaleLimit bundle.Duration `toml:"stale_limit"`
 }
 
-// Default intervals and timeouts, and bounds of the settings.
+// These constants are the default intervals and timeouts, and the bounds of the settings.
 const (
 	// DefaultPlatformInterval is the interval between polls of the platform's list of
 	// machines; it dominates the delay of endpoint changes.
