--- a/pkg/ctl/ctl.go
+++ b/pkg/ctl/ctl.go
@@ -18,7 +18,7 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// Exit codes of bramblectl, which scripts rely on.
+// These constants are the exit codes of bramblectl, on which scripts rely.
 const (
 	// ExitOK means success.
 	ExitOK = 0
