--- a/pkg/settings/dataplane.go
+++ b/pkg/settings/dataplane.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Defaults of the data plane: timeouts, retries and the names of headers.
+// These constants are the default timeouts, retry ratio and header names of the data plane.
 const (
 	defaultStopTimeout            = 30 * time.Second
 	defaultCallerNotice           = 700 * time.Millisecond
@@ -32,7 +32,8 @@
 	// of the caller, to the tenant's name for the back end.
 	Key    string `toml:"key,omitempty"`
 	Tenant string `toml:"tenant,omitempty"`
-	// Cold, in responses of a back end's health path, is for how many more milliseconds the back end is cold.
+	// Cold is a header in responses of a back end's health path: the milliseconds until the back end has warmed up
+	// (bundle.Service.ColdStart).
 	Cold string `toml:"cold,omitempty"`
 }
 
