--- a/pkg/control/quotas.go
+++ b/pkg/control/quotas.go
@@ -53,7 +53,7 @@
 		}
 	}
 	if announced.Shares != nil {
-		q.server.hub.PushQuotas(q.replica.Hear(q.server.clock.Elapsed(), *announced.Shares))
+		q.server.hub.PushQuotas(q.replica.ApplyShares(q.server.clock.Elapsed(), *announced.Shares))
 	}
 }
 
@@ -108,11 +108,11 @@
 	if q.allocator == nil {
 		q.allocator = quota.NewAllocator(now, q.server.settings.Quotas.Policy())
 	}
-	q.allocator.Take(now, own)
+	q.allocator.Record(now, own)
 	for more := true; more; {
 		select {
 		case sum := <-q.sums:
-			q.allocator.Take(now, sum)
+			q.allocator.Record(now, sum)
 		default:
 			more = false
 		}
@@ -124,7 +124,7 @@
 	q.logLimitChanges(shares)
 	update := shares
 	if q.ticks++; q.ticks%fullShareTicks != 0 {
-		update = shares.News(q.lastShares)
+		update = shares.UrgentChanges(q.lastShares)
 		update.Partial = true
 	}
 	q.lastShares = shares
@@ -132,7 +132,7 @@
 	for _, member := range node.Membership().Members {
 		own := q.allocator.For(member.Address, update)
 		if member.ID == node.ID() {
-			q.server.hub.PushQuotas(q.replica.Hear(now, own))
+			q.server.hub.PushQuotas(q.replica.ApplyShares(now, own))
 			continue
 		}
 		q.server.peers.announce(member.ID, protocol.Announce{Shares: &own})
@@ -146,7 +146,7 @@
 			continue
 		}
 		limit := q.limits[share.Tenant]
-		runs, sums := q.allocator.Kept()
+		runs, sums := q.allocator.RetainedCounts()
 		q.server.logger.Log("event", "tenant_limited", "tenant", share.Tenant, "limited", share.Limited, "rate", limit.Rate, "burst", limit.Burst,
 			"asked", share.Asked, "allotted", share.Rate, "nodes", shares.Nodes, "ended_lives", runs, "kept_sums", sums)
 		if share.Limited {
@@ -175,7 +175,7 @@
 				Name: tenant.Name, Keys: len(tenant.Keys), Rate: tenant.Rate, Burst: tenant.Burst, Priority: tenant.Priority, Regions: tenant.Regions,
 				Asked: float64(uses[tenant.Name].Asked), Used: float64(uses[tenant.Name].Used),
 			}
-			if share, found := s.quotas.lastShares.Of(tenant.Name); found {
+			if share, found := s.quotas.lastShares.ShareOf(tenant.Name); found {
 				described.Limited, described.Allotted = share.Limited, float64(share.Rate)
 			}
 			list.Tenants = append(list.Tenants, described)
--- a/pkg/proxy/proxy.go
+++ b/pkg/proxy/proxy.go
@@ -322,7 +322,7 @@
 	StaleMillis int64                        `json:"stale_millis"`
 	Pools       map[string][]balancer.Status `json:"pools"`
 	// Tenants are the tenants with a limit whose calls this node rejected most.
-	Tenants []quota.Standing `json:"tenants,omitempty"`
+	Tenants []quota.TenantStats `json:"tenants,omitempty"`
 }
 
 func (s *Server) status() any {
@@ -331,7 +331,7 @@
 		Server: s.controlClient.Server(), Serving: s.keeper.Serving(), Stopping: s.stopping.Load(),
 		Version: s.forwarder.Version(), Position: s.keeper.Position(), Pools: s.forwarder.Pools(),
 	}
-	standings := s.quotas.Standings()
+	standings := s.quotas.Stats()
 	status.Tenants = standings[:min(len(standings), maxStatusTenants)]
 	if at, confirmed := s.controlClient.ConfirmedAt(); confirmed {
 		status.Confirmed = true
--- a/pkg/quota/allocator.go
+++ b/pkg/quota/allocator.go
@@ -68,8 +68,8 @@
 	return &Allocator{policy: policy, startedAt: now, sums: map[string]latestSum{}, previous: map[string]Share{}}
 }
 
-// Take stores the newest sum of a replica.
-func (a *Allocator) Take(now time.Duration, sum Sum) {
+// Record stores the newest sum of a replica.
+func (a *Allocator) Record(now time.Duration, sum Sum) {
 	last := a.sums[sum.Replica]
 	a.keepSumBeforeRestart(last, sum)
 	if sum.Lives != nil || sum.restartedSince(last.sum) {
@@ -152,9 +152,9 @@
 	return combine(append(connected, a.sumsBeforeRestart(now, connected)...), a.policy.Window)
 }
 
-// Kept returns how many ended process runs, and how many sums from before replicas' restarts, count in the
+// RetainedCounts returns how many ended process runs, and how many sums from before replicas' restarts, count in the
 // latest shares.
-func (a *Allocator) Kept() (lives, sums int) { return a.endedLives, len(a.beforeRestart) }
+func (a *Allocator) RetainedCounts() (lives, sums int) { return a.endedLives, len(a.beforeRestart) }
 
 // recordReserved stores the part of each limit that the nodes of each replica hold. It changes nothing while a
 // replica may be disconnected, because that replica still applies the parts that it received last.
--- a/pkg/quota/doc.go
+++ b/pkg/quota/doc.go
@@ -119,8 +119,8 @@
 	Kept float32
 }
 
-// For returns the shares for the sender of a report: those of its reported tenants and of all limited ones.
-func (s Shares) For(report Report) Shares {
+// ForReport returns the shares for the sender of a report: those of its reported tenants and of all limited ones.
+func (s Shares) ForReport(report Report) Shares {
 	selected := Shares{Nodes: s.Nodes, Age: s.Age}
 	for _, share := range s.List {
 		_, reported := slices.BinarySearchFunc(report.Uses, share.Tenant, func(u Use, name string) int { return cmp.Compare(u.Tenant, name) })
@@ -138,8 +138,8 @@
 // compareShares orders shares by tenant.
 func compareShares(a, b Share) int { return cmp.Compare(a.Tenant, b.Tenant) }
 
-// Over returns s with the shares from earlier for tenants that s doesn't contain.
-func (s Shares) Over(earlier Shares) Shares {
+// MergedOver returns s with the shares from earlier for tenants that s doesn't contain.
+func (s Shares) MergedOver(earlier Shares) Shares {
 	merged := s
 	merged.List = slices.Clone(s.List)
 	for _, share := range earlier.List {
@@ -151,8 +151,8 @@
 	return merged
 }
 
-// Of returns the share of a tenant, false if there is none.
-func (s Shares) Of(tenant string) (Share, bool) {
+// ShareOf returns the share of a tenant, false if there is none.
+func (s Shares) ShareOf(tenant string) (Share, bool) {
 	if i, found := s.find(tenant); found {
 		return s.List[i], true
 	}
@@ -164,12 +164,12 @@
 	return slices.BinarySearchFunc(s.List, tenant, func(share Share, name string) int { return cmp.Compare(share.Tenant, name) })
 }
 
-// News returns the shares that must be sent to nodes immediately: those of tenants that are limited or were
+// UrgentChanges returns the shares that must be sent to nodes immediately: those of tenants that are limited or were
 // limited in earlier.
-func (s Shares) News(earlier Shares) Shares {
+func (s Shares) UrgentChanges(earlier Shares) Shares {
 	changed := Shares{Nodes: s.Nodes, Age: s.Age}
 	for _, share := range s.List {
-		if before, _ := earlier.Of(share.Tenant); share.Limited || before.Limited {
+		if before, _ := earlier.ShareOf(share.Tenant); share.Limited || before.Limited {
 			changed.List = append(changed.List, share)
 		}
 	}
--- a/pkg/quota/limiter.go
+++ b/pkg/quota/limiter.go
@@ -121,8 +121,8 @@
 	s.used = slidingWindow{}
 }
 
-// Holds reports whether any tenant has a limit.
-func (l *Limiter) Holds() bool {
+// HasLimits reports whether any tenant has a limit.
+func (l *Limiter) HasLimits() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.tenants) > 0
@@ -269,9 +269,9 @@
 // minReportedRate is the rate, in calls per second, from which on a tenant without admitted calls is reported.
 const minReportedRate = 0.01
 
-// Hear applies shares from a replica. sent is the time of the request or message that they belong to;
+// ApplyShares applies shares from a replica. sent is the time of the request or message that they belong to;
 // shares.Age is subtracted from it.
-func (l *Limiter) Hear(now, sent time.Duration, shares Shares) {
+func (l *Limiter) ApplyShares(now, sent time.Duration, shares Shares) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	at := sent - shares.Age
@@ -322,23 +322,23 @@
 	return totals
 }
 
-// Standing describes one tenant's limit and calls at this node, for logs and metrics.
-type Standing struct {
+// TenantStats describes one tenant's limit and calls at this node, for logs and metrics.
+type TenantStats struct {
 	Tenant            string
 	Limit             Limit
 	Limited           bool
 	Admitted, Refused uint64
 }
 
-// Standings returns the state of all tenants, those with the most rejected calls first.
-func (l *Limiter) Standings() []Standing {
+// Stats returns the state of all tenants, those with the most rejected calls first.
+func (l *Limiter) Stats() []TenantStats {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	list := make([]Standing, 0, len(l.tenants))
+	list := make([]TenantStats, 0, len(l.tenants))
 	for name, state := range l.tenants {
-		list = append(list, Standing{Tenant: name, Limit: state.limit, Limited: state.share.Limited, Admitted: state.admitted, Refused: state.rejected})
+		list = append(list, TenantStats{Tenant: name, Limit: state.limit, Limited: state.share.Limited, Admitted: state.admitted, Refused: state.rejected})
 	}
-	slices.SortFunc(list, func(a, b Standing) int {
+	slices.SortFunc(list, func(a, b TenantStats) int {
 		return cmp.Or(cmp.Compare(b.Refused, a.Refused), cmp.Compare(b.Admitted, a.Admitted), cmp.Compare(a.Tenant, b.Tenant))
 	})
 	return list
--- a/pkg/quota/limiter_test.go
+++ b/pkg/quota/limiter_test.go
@@ -44,17 +44,17 @@
 func TestLimitedTenantGetsNodeShare(t *testing.T) {
 	is := is.New(t)
 	l := newLimiter(Limit{Rate: 100, Burst: 100})
-	l.Hear(second, second, sharesOf(false, 100, 0))
+	l.ApplyShares(second, second, sharesOf(false, 100, 0))
 	is.Equal(admit(l, second, 50), 50)
 	report := l.Report(second)
 	is.Equal(len(report.Uses), 1)
 	is.Equal(report.Uses[0].Used, float32(50))
 	is.True(report.Uses[0].Asked > 50)
-	l.Hear(second, second, sharesOf(true, 100, 2*report.Uses[0].Asked))
+	l.ApplyShares(second, second, sharesOf(true, 100, 2*report.Uses[0].Asked))
 	is.Equal(admit(l, second, 50), 0) // no tokens earned yet
 	admitted := 0
 	for now := second; now < 2*second; now += 10 * time.Millisecond {
-		l.Hear(now, now, sharesOf(true, 100, 2*report.Uses[0].Asked))
+		l.ApplyShares(now, now, sharesOf(true, 100, 2*report.Uses[0].Asked))
 		admitted += admit(l, now, 10)
 	}
 	is.True(admitted > 40 && admitted < 50) // half of the rate, less the evenly spread fraction
@@ -66,7 +66,7 @@
 	l := newLimiter(Limit{Rate: 100, Burst: 100})
 	admit(l, second, 10)
 	report := l.Report(second)
-	l.Hear(second, second, sharesOf(false, 500, 10*report.Uses[0].Asked))
+	l.ApplyShares(second, second, sharesOf(false, 500, 10*report.Uses[0].Asked))
 	is.Equal(admit(l, second+shareLease, 100), 100) // the lease has not expired
 	admitted := 0
 	const duration = 10 * second
@@ -88,7 +88,7 @@
 func TestRetryAfterIsStaggered(t *testing.T) {
 	is := is.New(t)
 	l := newLimiter(Limit{Rate: 100, Burst: 100})
-	l.Hear(0, 0, sharesOf(true, 100, 0))
+	l.ApplyShares(0, 0, sharesOf(true, 100, 0))
 	admit(l, 0, 1)
 	last := time.Duration(0)
 	for range 15 {
@@ -104,11 +104,11 @@
 func TestReturnedCallsDoNotCount(t *testing.T) {
 	is := is.New(t)
 	l := newLimiter(Limit{Rate: 100, Burst: 100})
-	l.Hear(0, 0, sharesOf(false, 100, 0))
+	l.ApplyShares(0, 0, sharesOf(false, 100, 0))
 	admit(l, 0, 3)
 	l.Return(0, "t")
 	is.Equal(l.Report(0).Uses[0].Used, float32(2))
-	l.Hear(0, 0, sharesOf(true, 1, 0))
+	l.ApplyShares(0, 0, sharesOf(true, 1, 0))
 	is.Equal(admit(l, 0, 1), 0)
 	l.Return(0, "t")
 	is.Equal(admit(l, 0, 2), 1)
@@ -118,7 +118,7 @@
 func TestLowerLimitAppliesImmediately(t *testing.T) {
 	is := is.New(t)
 	l := newLimiter(Limit{Rate: 100, Burst: 100})
-	l.Hear(0, 0, sharesOf(false, 100, 0))
+	l.ApplyShares(0, 0, sharesOf(false, 100, 0))
 	admit(l, 0, 50)
 	l.SetLimits(0, map[string]Limit{"t": {Rate: 10, Burst: 10}})
 	is.Equal(admit(l, 0, 50), initialTokens)
@@ -133,7 +133,7 @@
 	reports := 0
 	l := NewLimiter(Config{Window: 5 * second, OnSurge: func() { reports++ }})
 	l.SetLimits(0, map[string]Limit{"t": {Rate: 100, Burst: 100}})
-	l.Hear(0, 0, sharesOf(false, 100, 0))
+	l.ApplyShares(0, 0, sharesOf(false, 100, 0))
 	admit(l, 0, surgeCalls)
 	is.Equal(reports, 0)
 	admit(l, 0, 50)
@@ -149,7 +149,7 @@
 	surged := false
 	l := NewLimiter(Config{Window: 5 * second, OnSurge: func() { surged = true }})
 	l.SetLimits(0, map[string]Limit{"t": {Rate: 200, Burst: 200}})
-	l.Hear(0, 0, sharesOf(false, 200, 0))
+	l.ApplyShares(0, 0, sharesOf(false, 200, 0))
 	now := time.Duration(0)
 	for ; now < 5*second; now += 10 * time.Millisecond {
 		admit(l, now, 1)
@@ -184,17 +184,17 @@
 	a := NewAllocator(0, testPolicy)
 	_, known := a.Shares(0, limitOfTen)
 	is.True(!known) // no sums received yet
-	a.Take(second, newSum("a", 5, 3, 15))
-	a.Take(second, newSum("b", 5, 3, 15))
+	a.Record(second, newSum("a", 5, 3, 15))
+	a.Record(second, newSum("b", 5, 3, 15))
 	shares, known := a.Shares(second, limitOfTen)
 	is.True(known)
 	is.Equal(shares.Nodes, 10)
 	is.True(!shares.List[0].Limited) // 30 calls, below 50 plus the burst
-	a.Take(second, newSum("b", 5, 30, 25))
+	a.Record(second, newSum("b", 5, 30, 25))
 	shares, _ = a.Shares(second, limitOfTen)
 	is.True(shares.List[0].Limited)
-	a.Take(second, newSum("a", 5, 30, 40))
-	a.Take(second, newSum("b", 5, 30, 40))
+	a.Record(second, newSum("a", 5, 30, 40))
+	a.Record(second, newSum("b", 5, 30, 40))
 	shares, _ = a.Shares(second, limitOfTen)
 	is.Equal(shares.List[0].Rate, float32(minRateFraction*10)) // the window is over its limit: the minimum rate
 }
@@ -205,11 +205,11 @@
 	a := NewAllocator(0, testPolicy)
 	young := newSum("a", 10, 30, 0)
 	young.Unseen = 10
-	a.Take(second, young)
+	a.Record(second, young)
 	shares, _ := a.Shares(second, limitOfTen)
 	is.True(shares.List[0].Limited)
 	young.Unseen = 0
-	a.Take(second, young)
+	a.Record(second, young)
 	shares, _ = a.Shares(second, limitOfTen)
 	is.True(!shares.List[0].Limited)
 }
@@ -222,22 +222,22 @@
 		a := NewAllocator(0, testPolicy)
 		partitioned := NewReplica("b", testPolicy)
 		now := second
-		a.Take(now, newSum("a", 6, 60, 40))
+		a.Record(now, newSum("a", 6, 60, 40))
 		for i := range 4 {
-			partitioned.Take(now, string(rune('a'+i)), Report{Age: time.Hour, Uses: []Use{{Tenant: "t", Asked: 10, Used: 5}}})
+			partitioned.Record(now, string(rune('a'+i)), Report{Age: time.Hour, Uses: []Use{{Tenant: "t", Asked: 10, Used: 5}}})
 		}
-		a.Take(now, partitioned.Sum(now))
+		a.Record(now, partitioned.Sum(now))
 		shares, known := a.Shares(now, limitOfTen)
 		is.True(known)
-		partitioned.Hear(now, a.For("b", shares))
+		partitioned.ApplyShares(now, a.For("b", shares))
 		now += 3 * peerTimeout // the leader has sent shares for this time
 		partitioned.Alone(now, limitOfTen)
 		if oneWay {
-			a.Take(now, partitioned.Sum(now)) // sums reach the leader, shares don't reach the replica
+			a.Record(now, partitioned.Sum(now)) // sums reach the leader, shares don't reach the replica
 		}
-		a.Take(now, newSum("a", 6, 60, 50))
+		a.Record(now, newSum("a", 6, 60, 50))
 		rest, _ := a.Shares(now, limitOfTen)
-		own, received := partitioned.Take(now, "a", Report{Age: time.Hour, Uses: []Use{{Tenant: "t", Asked: 10, Used: 5}}})
+		own, received := partitioned.Record(now, "a", Report{Age: time.Hour, Uses: []Use{{Tenant: "t", Asked: 10, Used: 5}}})
 		is.True(received)
 		is.True(rest.List[0].Limited && own.List[0].Limited)
 		is.Equal(rest.Nodes, 6)
@@ -255,22 +255,22 @@
 	is := is.New(t)
 	r := NewReplica("a", testPolicy)
 	report := Report{Age: 2 * second, Uses: []Use{{Tenant: "t", Asked: 1, Used: 1}}}
-	_, known := r.Take(0, "n", report)
+	_, known := r.Record(0, "n", report)
 	is.True(!known)
-	changed := r.Hear(0, Shares{Nodes: 1, List: []Share{{Tenant: "t"}, {Tenant: "u"}, {Tenant: "v", Limited: true}}})
+	changed := r.ApplyShares(0, Shares{Nodes: 1, List: []Share{{Tenant: "t"}, {Tenant: "u"}, {Tenant: "v", Limited: true}}})
 	is.Equal(len(changed.List), 1)
-	received, known := r.Take(300*time.Millisecond, "n", report)
+	received, known := r.Record(300*time.Millisecond, "n", report)
 	is.True(known)
 	is.Equal(received.Age, 300*time.Millisecond)
 	is.Equal(len(received.List), 2) // the calling tenant and the limited one
-	_, known = r.Take(shareLease+1, "n", report)
+	_, known = r.Record(shareLease+1, "n", report)
 	is.True(!known)
 	sum := r.Sum(shareLease)
 	is.Equal(sum.Nodes, 1)
 	is.True(sum.Unseen > 0.59 && sum.Unseen < 0.61)
-	r.Leave(shareLease, "n")
+	r.RecordDeparture(shareLease, "n")
 	is.Equal(r.Sum(shareLease).Nodes, 0)
-	r.Take(0, "n", report)
+	r.Record(0, "n", report)
 	is.Equal(r.Sum(silentRetention+1).Nodes, 0)
 }
 
@@ -278,16 +278,16 @@
 func TestLateCallsAreRejectedWhileLimitIsScarce(t *testing.T) {
 	is := is.New(t)
 	l := newLimiter(Limit{Rate: 100, Burst: 100})
-	l.Hear(0, 0, sharesOf(true, 100, 400))
+	l.ApplyShares(0, 0, sharesOf(true, 100, 400))
 	l.Report(0)
-	l.Hear(0, 0, sharesOf(true, 100, 400))
+	l.ApplyShares(0, 0, sharesOf(true, 100, 400))
 	now := shareLease
 	ok, _ := l.Admit(now, "t", true)
 	is.True(!ok)
 	ok, _ = l.Admit(now, "t", false)
 	is.True(ok)
 	now = 2 * shareLease
-	l.Hear(now, now, sharesOf(true, 100, 90)) // demand below the rate
+	l.ApplyShares(now, now, sharesOf(true, 100, 90)) // demand below the rate
 	ok, _ = l.Admit(now, "t", true)
 	is.True(ok)
 }
@@ -298,25 +298,25 @@
 	now := second
 	before, replica := NewAllocator(0, testPolicy), NewReplica("a", testPolicy)
 	report := Report{Age: time.Hour, Uses: []Use{{Tenant: "t", Asked: 30, Used: 20}}}
-	replica.Take(now, "n", report)
-	before.Take(now, replica.Sum(now))
+	replica.Record(now, "n", report)
+	before.Record(now, replica.Sum(now))
 	shares, _ := before.Shares(now, limitOfTen)
-	replica.Hear(now, before.For("a", shares))
+	replica.ApplyShares(now, before.For("a", shares))
 	now += second
-	replica.Take(now, "n", report)
+	replica.Record(now, "n", report)
 	replica.Alone(now, limitOfTen)
 	is.True(replica.Sum(now).Alone)
 	next := NewAllocator(now, testPolicy)
 	for range 20 {
 		now += leaderStartDelay
 		replica.Alone(now, limitOfTen)
-		next.Take(now, replica.Sum(now))
+		next.Record(now, replica.Sum(now))
 		shares, known := next.Shares(now, limitOfTen)
 		is.True(known)
 		is.Equal(shares.Nodes, 1)
-		replica.Hear(now, next.For("a", shares))
+		replica.ApplyShares(now, next.For("a", shares))
 		is.True(!replica.Sum(now).Alone)
-		replica.Take(now, "n", report)
+		replica.Record(now, "n", report)
 	}
 }
 
@@ -333,13 +333,13 @@
 			}
 			return sum.Uses[0].Used
 		}
-		r.Take(0, "n", Report{Age: time.Hour, Uses: []Use{{Tenant: "t", Used: 50}}})
+		r.Record(0, "n", Report{Age: time.Hour, Uses: []Use{{Tenant: "t", Used: 50}}})
 		for i := range 3 {
 			now := time.Duration(i+1) * second
 			if closed {
-				r.Leave(now, "n")
+				r.RecordDeparture(now, "n")
 			}
-			r.Take(now, "n", Report{Age: 100 * time.Millisecond})
+			r.Record(now, "n", Report{Age: 100 * time.Millisecond})
 		}
 		is.True(used(3*second) > 10 && used(3*second) < 25) // three fifths of the window have passed
 		is.Equal(used(9*second), float32(0))
--- a/pkg/quota/lives_test.go
+++ b/pkg/quota/lives_test.go
@@ -31,12 +31,12 @@
 func TestEndedProcessRunsCountUntilTheyLeaveTheWindow(t *testing.T) {
 	is := is.New(t)
 	a, b := NewReplica("a", testPolicy), NewReplica("b", testPolicy)
-	a.Take(0, "n", reportOf(1, 0, 1, 1, 1, 1, 40))
-	a.Leave(0, "n")
+	a.Record(0, "n", reportOf(1, 0, 1, 1, 1, 1, 40))
+	a.RecordDeparture(0, "n")
 	used, nodes, _ := combinedUse(0, a, b)
 	is.Equal(used, float32(44))
 	is.Equal(nodes, 0)
-	b.Take(second, "n", Report{Life: 2, Age: second, Uses: []Use{{Tenant: "t", Used: 2}}})
+	b.Record(second, "n", Report{Life: 2, Age: second, Uses: []Use{{Tenant: "t", Used: 2}}})
 	used, nodes, unseen := combinedUse(2*second, a, b)
 	is.Equal(used, float32(2+42))
 	is.Equal(nodes, 1)
@@ -51,14 +51,14 @@
 func TestMovedProcessRunCountsOnce(t *testing.T) {
 	is := is.New(t)
 	a, b := NewReplica("a", testPolicy), NewReplica("b", testPolicy)
-	a.Take(0, "n", reportOf(1, 0, 2, 2, 2, 2, 2))
-	b.Take(0, "n", reportOf(1, 0, 2, 2, 2, 2, 2))
-	a.Leave(100*time.Millisecond, "n")
+	a.Record(0, "n", reportOf(1, 0, 2, 2, 2, 2, 2))
+	b.Record(0, "n", reportOf(1, 0, 2, 2, 2, 2, 2))
+	a.RecordDeparture(100*time.Millisecond, "n")
 	used, nodes, _ := combinedUse(200*time.Millisecond, a, b)
 	is.Equal(used, float32(10))
 	is.Equal(nodes, 1)
-	b.Leave(second, "n")
-	a.Take(second, "n", reportOf(1, 0, 2, 2, 2, 2, 2))
+	b.RecordDeparture(second, "n")
+	a.Record(second, "n", reportOf(1, 0, 2, 2, 2, 2, 2))
 	used, nodes, _ = combinedUse(second, a, b)
 	is.Equal(used, float32(10))
 	is.Equal(nodes, 1)
@@ -70,7 +70,7 @@
 	for life, want := range map[uint64]float32{1: 10, 2: 1 + 10 - 2*3} {
 		is := is.New(t)
 		a, b := NewReplica("a", testPolicy), NewReplica("b", testPolicy)
-		a.Take(0, "n", reportOf(1, 0, 2, 2, 2, 2, 2))
+		a.Record(0, "n", reportOf(1, 0, 2, 2, 2, 2, 2))
 		used, nodes, _ := combinedUse(3*second, a, b)
 		is.Equal(used, float32(10))
 		is.Equal(nodes, 1)
@@ -78,7 +78,7 @@
 		if life == 2 {
 			report = Report{Life: 2, Age: second, Uses: []Use{{Tenant: "t", Used: 1}}}
 		}
-		b.Take(3*second, "n", report)
+		b.Record(3*second, "n", report)
 		used, nodes, unseen := combinedUse(3*second, a, b)
 		is.Equal(used, want)
 		is.Equal(nodes, 1)
@@ -93,21 +93,21 @@
 	a := NewAllocator(0, testPolicy)
 	r := NewReplica("a", testPolicy)
 	now := second
-	r.Take(now, "n", reportOf(1, 0, 1))
-	r.Take(now, "m", reportOf(1, 60, 5, 5, 5, 5, 5))
-	r.Leave(now, "m")
-	a.Take(now, r.Sum(now))
+	r.Record(now, "n", reportOf(1, 0, 1))
+	r.Record(now, "m", reportOf(1, 60, 5, 5, 5, 5, 5))
+	r.RecordDeparture(now, "m")
+	a.Record(now, r.Sum(now))
 	shares, known := a.Shares(now, limitOfTen)
 	is.True(known)
 	is.True(shares.List[0].Limited)
 	is.Equal(shares.List[0].Asked, float32(0)) // demand at running nodes only
-	lives, sums := a.Kept()
+	lives, sums := a.RetainedCounts()
 	is.Equal(lives, 1)
 	is.Equal(sums, 0)
-	r.Take(now, "m", Report{Life: 2, Age: 50 * time.Millisecond})
+	r.Record(now, "m", Report{Life: 2, Age: 50 * time.Millisecond})
 	is.Equal(r.Sum(now).Uses[0].Asked, float32(60))
 	now += 2 * demandRetention
-	r.Take(now, "m", Report{Life: 2, Age: 2 * demandRetention})
+	r.Record(now, "m", Report{Life: 2, Age: 2 * demandRetention})
 	is.Equal(r.Sum(now).Uses[0].Asked, float32(0))
 }
 
@@ -117,9 +117,9 @@
 	for limited, want := range map[bool]float32{false: 20, true: 4} {
 		is := is.New(t)
 		r := NewReplica("a", testPolicy)
-		r.Hear(0, Shares{Nodes: 1, List: []Share{{Tenant: "t", Limited: limited, Rate: 20, Asked: 100}}})
-		r.Take(0, "n", reportOf(1, 100, 0, 0, 0, 0, 0))
-		r.Leave(200*time.Millisecond, "n")
+		r.ApplyShares(0, Shares{Nodes: 1, List: []Share{{Tenant: "t", Limited: limited, Rate: 20, Asked: 100}}})
+		r.Record(0, "n", reportOf(1, 100, 0, 0, 0, 0, 0))
+		r.RecordDeparture(200*time.Millisecond, "n")
 		used, _, _ := combinedUse(200*time.Millisecond, r)
 		is.True(used > want-0.01 && used < want+0.01)
 	}
@@ -130,16 +130,16 @@
 func TestRelayForwardsDeparturesAndArrivals(t *testing.T) {
 	is := is.New(t)
 	relay, replica := NewReplica("relay", testPolicy), NewReplica("a", testPolicy)
-	relay.Take(0, "n", reportOf(1, 0, 2, 2, 2, 2, 2))
-	relay.Take(0, "m", reportOf(1, 0, 1, 1, 1, 1, 1))
-	replica.Take(0, "relay", relay.Report(0))
-	relay.Take(0, "young", Report{Life: 1, Age: second})
-	replica.Take(0, "relay", relay.Report(0))
+	relay.Record(0, "n", reportOf(1, 0, 2, 2, 2, 2, 2))
+	relay.Record(0, "m", reportOf(1, 0, 1, 1, 1, 1, 1))
+	replica.Record(0, "relay", relay.Report(0))
+	relay.Record(0, "young", Report{Life: 1, Age: second})
+	replica.Record(0, "relay", relay.Report(0))
 	used, nodes, _ := combinedUse(0, replica)
 	is.Equal(used, float32(15))
 	is.Equal(nodes, 3)
-	relay.Leave(0, "n")
-	replica.Take(0, "relay", relay.Report(0))
+	relay.RecordDeparture(0, "n")
+	replica.Record(0, "relay", relay.Report(0))
 	used, nodes, _ = combinedUse(0, replica)
 	is.Equal(used, float32(15))
 	is.Equal(nodes, 2)
@@ -163,17 +163,17 @@
 	a := NewAllocator(0, testPolicy)
 	now := second
 	before := NewReplica("a", testPolicy)
-	before.Take(now, "n", reportOf(1, 0, 2, 2, 2, 2, 2))
-	before.Take(now, "m", reportOf(1, 0, 1, 1, 1, 1, 1))
-	a.Take(now, before.Sum(now))
+	before.Record(now, "n", reportOf(1, 0, 2, 2, 2, 2, 2))
+	before.Record(now, "m", reportOf(1, 0, 1, 1, 1, 1, 1))
+	a.Record(now, before.Sum(now))
 	used := func(r *Replica) float32 {
-		a.Take(now, r.Sum(now))
+		a.Record(now, r.Sum(now))
 		return a.Uses(now)["t"].Used
 	}
 	after := NewReplica("a", testPolicy)
 	is.Equal(used(after), float32(15))
-	after.Take(now, "n", reportOf(1, 0, 2, 2, 2, 2, 2))
+	after.Record(now, "n", reportOf(1, 0, 2, 2, 2, 2, 2))
 	is.Equal(used(after), float32(10+15)) // the calls can't be assigned to single nodes
-	after.Take(now, "m", reportOf(1, 0, 1, 1, 1, 1, 1))
+	after.Record(now, "m", reportOf(1, 0, 1, 1, 1, 1, 1))
 	is.Equal(used(after), float32(15))
 }
--- a/pkg/quota/replica.go
+++ b/pkg/quota/replica.go
@@ -46,22 +46,22 @@
 	return r
 }
 
-// Take stores a subscriber's newest report and returns the shares for its response, false if none are valid.
-func (r *Replica) Take(now time.Duration, node string, report Report) (Shares, bool) {
+// Record stores a subscriber's newest report and returns the shares for its response, false if none are valid.
+func (r *Replica) Record(now time.Duration, node string, report Report) (Shares, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.reports.record(now, node, report)
 	if !r.hasShares || now-r.sharesAt > shareLease {
 		return Shares{}, false
 	}
-	selected := r.shares.For(report)
+	selected := r.shares.ForReport(report)
 	selected.Age = now - r.sharesAt
 	return selected, true
 }
 
-// Leave records that a subscriber's connection has closed. Its recent calls still count, unless another
+// RecordDeparture records that a subscriber's connection has closed. Its recent calls still count, unless another
 // replica receives reports from the same process run.
-func (r *Replica) Leave(now time.Duration, node string) {
+func (r *Replica) RecordDeparture(now time.Duration, node string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.reports.recordDeparture(now, node)
@@ -96,14 +96,14 @@
 // unreported estimates the calls that a subscriber admitted after its last report. The caller holds mu.
 func (r *Replica) unreported(use Use, gap time.Duration) float32 {
 	rate := float64(use.Asked)
-	if share, known := r.shares.Of(use.Tenant); known && share.Limited {
+	if share, known := r.shares.ShareOf(use.Tenant); known && share.Limited {
 		rate = min(rate, share.rateAt(float64(use.Asked), r.shares.Nodes))
 	}
 	return float32(rate * gap.Seconds())
 }
 
-// Hear applies the leader's shares and returns those to send to all subscribers immediately.
-func (r *Replica) Hear(now time.Duration, shares Shares) Shares {
+// ApplyShares applies the leader's shares and returns those to send to all subscribers immediately.
+func (r *Replica) ApplyShares(now time.Duration, shares Shares) Shares {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.leaderHeardAt, r.leaderSeen, r.standalone = now, true, nil
@@ -115,7 +115,7 @@
 		r.reserved.byTenant[share.Tenant] = float64(share.Kept)
 	}
 	if shares.Partial {
-		shares = shares.Over(r.shares)
+		shares = shares.MergedOver(r.shares)
 		shares.Partial = false
 	}
 	return r.setShares(now, shares)
@@ -133,7 +133,7 @@
 		r.standalone = NewAllocator(now-leaderStartDelay, r.policy)
 		r.standalone.previous = sharesByTenant(r.shares.List)
 	}
-	r.standalone.Take(now, r.reports.sum(now, r.name, r.policy.Window))
+	r.standalone.Record(now, r.reports.sum(now, r.name, r.policy.Window))
 	shares, known := r.standalone.sharesOfFraction(now, limits, r.reserved.fraction)
 	if !known {
 		return Shares{}
@@ -153,7 +153,7 @@
 }
 
 func (r *Replica) setShares(now time.Duration, shares Shares) Shares {
-	changed := shares.News(r.shares)
+	changed := shares.UrgentChanges(r.shares)
 	for i := range changed.List {
 		changed.List[i].Kept = 0
 	}
--- a/pkg/quota/simulation_test.go
+++ b/pkg/quota/simulation_test.go
@@ -209,7 +209,7 @@
 	}
 	if sim.restarts && sim.now%(500*time.Millisecond) == 0 {
 		i := sim.rng.Intn(sim.scenario.nodes)
-		sim.replicas[sim.nodes[i].replica].Leave(sim.now, fmt.Sprint(i))
+		sim.replicas[sim.nodes[i].replica].RecordDeparture(sim.now, fmt.Sprint(i))
 		sim.startNode(i, sim.now)
 	}
 	if sim.restartOneOfThree > 0 && sim.now%sim.restartOneOfThree == 0 {
@@ -238,7 +238,7 @@
 	}
 	for _, i := range nodes {
 		if !sim.restartUnnoticed {
-			sim.replicas[sim.nodes[i].replica].Leave(sim.now, fmt.Sprint(i))
+			sim.replicas[sim.nodes[i].replica].RecordDeparture(sim.now, fmt.Sprint(i))
 		}
 		if replica := sim.nodes[i].replica; sim.restartReplicas {
 			sim.replicas[replica] = &simReplica{NewReplica(fmt.Sprint(replica), testPolicy)}
@@ -326,12 +326,12 @@
 	n.lastArrival = max(n.lastArrival, sim.now+simStep+late+sim.randomDelay(1, 20))
 	replica := sim.replicas[n.replica]
 	sim.at(n.lastArrival, func() {
-		shares, known := replica.Take(sim.now, fmt.Sprint(i), report)
+		shares, known := replica.Record(sim.now, fmt.Sprint(i), report)
 		if !known {
 			return
 		}
 		started := n.started
-		sim.scheduleAfter(1, 20, func() { limiter.Hear(sim.now-started, sent-started, shares) })
+		sim.scheduleAfter(1, 20, func() { limiter.ApplyShares(sim.now-started, sent-started, shares) })
 	})
 }
 
@@ -341,7 +341,7 @@
 		partitioned := sim.isPartitioned(i)
 		sim.scheduleAfter(1, 10, func() {
 			if sim.leader != nil && !partitioned {
-				sim.leader.Take(sim.now, sum)
+				sim.leader.Record(sim.now, sum)
 			}
 		})
 		sim.push(i, r.Alone(sim.now, sim.limits()))
@@ -363,21 +363,21 @@
 		forReplica := sim.leader.For(fmt.Sprint(i), shares)
 		sim.scheduleAfter(1, 10, func() {
 			if !sim.isPartitioned(i) {
-				sim.push(i, r.Hear(sim.now, forReplica))
+				sim.push(i, r.ApplyShares(sim.now, forReplica))
 			}
 		})
 	}
 }
 
-func (sim *simulation) push(replica int, news Shares) {
+func (sim *simulation) push(replica int, changes Shares) {
 	at := sim.now
-	if len(news.List) == 0 {
+	if len(changes.List) == 0 {
 		return
 	}
 	for _, n := range sim.nodes {
 		if n.replica == replica {
 			limiter, started := n.limiter, n.started
-			sim.scheduleAfter(1, 20, func() { limiter.Hear(sim.now-started, at-started, news) })
+			sim.scheduleAfter(1, 20, func() { limiter.ApplyShares(sim.now-started, at-started, changes) })
 		}
 	}
 }
--- a/pkg/relay/relay.go
+++ b/pkg/relay/relay.go
@@ -134,7 +134,7 @@
 	// Replicas send only the shares of tenants whose limit is being enforced (quota.Share.Limited) and of
 	// those in the relay's report.
 	shares.Partial = true
-	s.hub.PushQuotas(s.quotas.Hear(now, shares))
+	s.hub.PushQuotas(s.quotas.ApplyShares(now, shares))
 }
 
 // Position implements stream.Target.
--- a/pkg/stream/hub.go
+++ b/pkg/stream/hub.go
@@ -43,10 +43,10 @@
 
 // Quotas is the part of a server that maintains tenants' quotas.
 type Quotas interface {
-	// Take stores a subscriber's newest report and returns its shares, false if they are not known.
-	Take(now time.Duration, node string, report quota.Report) (quota.Shares, bool)
-	// Leave removes a subscriber that moved to another server or exited.
-	Leave(now time.Duration, node string)
+	// Record stores a subscriber's newest report and returns its shares, false if they are not known.
+	Record(now time.Duration, node string, report quota.Report) (quota.Shares, bool)
+	// RecordDeparture removes a subscriber that moved to another server or exited.
+	RecordDeparture(now time.Duration, node string)
 }
 
 // Hub serves one state to many subscribers. It is safe for concurrent use.
@@ -219,7 +219,7 @@
 	}
 	h.mu.Unlock()
 	if !resubscribed {
-		h.config.Quotas.Leave(h.config.Now(), s.hello.Name)
+		h.config.Quotas.RecordDeparture(h.config.Now(), s.hello.Name)
 	}
 }
 
@@ -235,7 +235,7 @@
 		if s.admitted && s.hello.Level >= catalog.LevelTenants {
 			merged := shares
 			if s.pendingQuotas != nil {
-				merged = shares.Over(*s.pendingQuotas)
+				merged = shares.MergedOver(*s.pendingQuotas)
 			}
 			s.pendingQuotas = &merged
 			s.wake()
@@ -248,7 +248,7 @@
 	if ping.Quotas == nil || h.config.Quotas == nil {
 		return nil
 	}
-	shares, known := h.config.Quotas.Take(h.config.Now(), s.hello.Name, *ping.Quotas)
+	shares, known := h.config.Quotas.Record(h.config.Now(), s.hello.Name, *ping.Quotas)
 	if !known {
 		return nil
 	}
