--- a/pkg/control/suspects.go
+++ b/pkg/control/suspects.go
@@ -56,7 +56,7 @@
 	err := s.runOnLoop(ctx, func(now time.Duration) {
 		node := s.replica.Node()
 		leading = s.canDecideSuspects(now)
-		evidence = s.replica.State().Suspects.News(evidence)
+		evidence = s.replica.State().Suspects.NewEvidence(evidence)
 		if !leading && node.Leader() != node.ID() && !evidence.Empty() {
 			s.peers.announce(node.Leader(), protocol.Announce{Evidence: &evidence})
 		}
--- a/pkg/forward/quarantine.go
+++ b/pkg/forward/quarantine.go
@@ -21,7 +21,7 @@
 
 // matchQuarantine looks the call up in the watchlist, with the buffered part of its body.
 func (c *call) matchQuarantine(body []byte) quarantine.Match {
-	return c.handler.config.Quarantine.Look(c.request, body, c.callerAndService())
+	return c.handler.config.Quarantine.Lookup(c.request, body, c.callerAndService())
 }
 
 // callerAndService returns the pair for which responses to a suspect are tracked.
@@ -36,7 +36,7 @@
 		return
 	}
 	c.handler.config.OnEnded(quarantine.End{
-		Request: quarantine.Of(c.request, c.body.data), Instance: fmt.Sprintf("%s/%d", ticket.ID, ticket.Incarnation), Way: c.callerAndService(),
+		Request: quarantine.FingerprintOf(c.request, c.body.data), Instance: fmt.Sprintf("%s/%d", ticket.ID, ticket.Incarnation), Way: c.callerAndService(),
 		Watched: c.watched,
 	})
 }
--- a/pkg/forward/quarantine_test.go
+++ b/pkg/forward/quarantine_test.go
@@ -22,7 +22,7 @@
 	request := httptest.NewRequest(http.MethodPost, "http://shop.example:80"+path, nil)
 	filter := &quarantine.Filter{}
 	filter.Set(&quarantine.Watchlist{Entries: []quarantine.Entry{
-		{Request: quarantine.Of(request, []byte("fatal")), Quarantined: quarantined, Answered: answered},
+		{Request: quarantine.FingerprintOf(request, []byte("fatal")), Quarantined: quarantined, Answered: answered},
 	}})
 	return filter
 }
@@ -140,7 +140,7 @@
 
 	watchlist := func(server *httptest.Server, quarantined bool) *quarantine.Watchlist {
 		call := httptest.NewRequest(http.MethodGet, server.URL+"/x", nil)
-		return &quarantine.Watchlist{Entries: []quarantine.Entry{{Request: quarantine.Of(call, nil), Quarantined: quarantined}}}
+		return &quarantine.Watchlist{Entries: []quarantine.Entry{{Request: quarantine.FingerprintOf(call, nil), Quarantined: quarantined}}}
 	}
 	server = serve(crashingBackend(t), crashingBackend(t))
 	filter.Set(watchlist(server, false))
--- a/pkg/gate/quarantine.go
+++ b/pkg/gate/quarantine.go
@@ -13,7 +13,7 @@
 	if g.config.Quarantine.Empty() {
 		return quarantine.Match{}
 	}
-	return g.config.Quarantine.Look(r, body.Data(), g.callerAndService(r, adm))
+	return g.config.Quarantine.Lookup(r, body.Data(), g.callerAndService(r, adm))
 }
 
 // callerAndService returns the caller and the service of a call to the back end.
@@ -37,7 +37,7 @@
 // reportCrash reports that the back end crashed during a call. The fingerprint is computed only
 // here, so that successful calls do not pay for it.
 func (g *Gate) reportCrash(r *http.Request, body *exchange.Body, adm admission, call *Call) {
-	call.Reason, call.Fingerprint = exchange.ReasonEnded, quarantine.Of(r, body.Data())
+	call.Reason, call.Fingerprint = exchange.ReasonEnded, quarantine.FingerprintOf(r, body.Data())
 	if g.config.OnEnded == nil {
 		return
 	}
--- a/pkg/gate/quarantine_test.go
+++ b/pkg/gate/quarantine_test.go
@@ -34,7 +34,7 @@
 	g := newGateFor(address, 1)
 	g.config.Quarantine = &quarantine.Filter{}
 	g.config.Quarantine.Set(&quarantine.Watchlist{Entries: []quarantine.Entry{
-		{Request: quarantine.Of(callWithBody(t, "any", ""), []byte("fatal")), Quarantined: true},
+		{Request: quarantine.FingerprintOf(callWithBody(t, "any", ""), []byte("fatal")), Quarantined: true},
 	}})
 	for range 3 {
 		response := g.serve(callWithBody(t, "a", "fatal"))
@@ -60,7 +60,7 @@
 		g.config.OnAnswered = func(answer quarantine.Answer) { responses = append(responses, answer) }
 		return g
 	}
-	request := quarantine.Of(callWithBody(t, "any", ""), []byte("fatal"))
+	request := quarantine.FingerprintOf(callWithBody(t, "any", ""), []byte("fatal"))
 	crashing := configure(newGateFor("", 1), crashingBackend(t, 1, true))
 	crashing.serve(callWithBody(t, "a", "fatal"))
 	is.Equal(crashes, []quarantine.End{{Request: request, Instance: "b2", Way: way}})
@@ -100,7 +100,7 @@
 			cleared := false
 			g.config.OnAnswered = func(quarantine.Answer) { cleared = true }
 			g.config.Quarantine = &quarantine.Filter{}
-			g.config.Quarantine.Set(&quarantine.Watchlist{Entries: []quarantine.Entry{{Request: quarantine.Of(callWithBody(t, "any", ""), []byte("fatal"))}}})
+			g.config.Quarantine.Set(&quarantine.Watchlist{Entries: []quarantine.Entry{{Request: quarantine.FingerprintOf(callWithBody(t, "any", ""), []byte("fatal"))}}})
 			is.Equal(g.serve(callWithBody(t, "a", "fatal")).StatusCode, status)
 			is.Equal(cleared, wantCleared)
 		})
--- a/pkg/proxy/gate.go
+++ b/pkg/proxy/gate.go
@@ -111,7 +111,7 @@
 	if s.backendRegistry != nil {
 		announcement.Endpoints = s.backendRegistry.Announcements()
 	}
-	if evidence := s.suspects.Take(s.clock.Elapsed()); !evidence.Empty() {
+	if evidence := s.suspects.Pending(s.clock.Elapsed()); !evidence.Empty() {
 		announcement.Evidence = &evidence
 	}
 	announcement.Rollouts = s.rolloutReports()
--- a/pkg/proxy/observer.go
+++ b/pkg/proxy/observer.go
@@ -110,7 +110,7 @@
 	}
 	registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Name: "bramblelift_evidence_lost_total", Help: "Ends of back ends and answers to suspects that were not told, since too much waited.",
-	}, func() float64 { return float64(outbox.Lost()) }))
+	}, func() float64 { return float64(outbox.Dropped()) }))
 }
 
 // registerLink registers the bytes transferred over the machine's link.
--- a/pkg/proxy/quarantine.go
+++ b/pkg/proxy/quarantine.go
@@ -4,14 +4,14 @@
 
 // onCrash records that the back end crashed while processing a call, to report it to the control plane.
 func (s *Server) onCrash(crash quarantine.End) {
-	if s.suspects.Ended(crash) {
+	if s.suspects.AddCrash(crash) {
 		s.controlClient.PingSoon()
 	}
 }
 
 // onWatchedResponse records that the back end responded to a watched call, to report it to the control plane.
 func (s *Server) onWatchedResponse(response quarantine.Answer) {
-	if s.suspects.Answered(response) {
+	if s.suspects.AddResponse(response) {
 		s.controlClient.PingSoon()
 	}
 }
--- a/pkg/quarantine/filter.go
+++ b/pkg/quarantine/filter.go
@@ -110,8 +110,8 @@
 // Empty reports whether there are no suspects.
 func (f *Filter) Empty() bool { return f == nil || f.index.Load() == nil }
 
-// Look returns the standing of a request on a way. body may be only the buffered beginning.
-func (f *Filter) Look(r *http.Request, body []byte, way Way) Match {
+// Lookup returns the standing of a request on a way. body may be only the buffered beginning.
+func (f *Filter) Lookup(r *http.Request, body []byte, way Way) Match {
 	if f == nil {
 		return Match{}
 	}
@@ -119,7 +119,7 @@
 	if index == nil || !index.targetHashes[hashTarget(targetOf(r))] {
 		return Match{}
 	}
-	request := Of(r, body)
+	request := FingerprintOf(r, body)
 	entry, found := index.entries[request]
 	if !found {
 		return Match{}
--- a/pkg/quarantine/filter_test.go
+++ b/pkg/quarantine/filter_test.go
@@ -16,20 +16,20 @@
 	is := is.New(t)
 	var filter Filter
 	body := []byte("fatal")
-	is.Equal(filter.Look(post("/a"), body, shop), Match{})
-	is.Equal((*Filter)(nil).Look(post("/a"), body, shop), Match{})
-	fatal, watched := Of(post("/a"), body), Of(post("/b"), nil)
+	is.Equal(filter.Lookup(post("/a"), body, shop), Match{})
+	is.Equal((*Filter)(nil).Lookup(post("/a"), body, shop), Match{})
+	fatal, watched := FingerprintOf(post("/a"), body), FingerprintOf(post("/b"), nil)
 	list := &Watchlist{Modified: 3, Entries: []Entry{{Request: fatal, Quarantined: true, Answered: []Way{desk}}, {Request: watched}}}
 	is.True(filter.Set(list))
 	is.Equal(filter.Set(&Watchlist{Modified: 4, Entries: list.Entries}), false) // same entries
-	is.Equal(filter.Look(post("/a"), body, shop), Match{Standing: Quarantined, Request: fatal})
-	is.Equal(filter.Look(post("/a"), body, desk), Match{Standing: Watched, Request: fatal, Answered: true})
-	is.Equal(filter.Look(post("/a"), []byte("harmless"), shop), Match{})
-	is.Equal(filter.Look(post("/c"), body, shop), Match{})
-	is.Equal(filter.Look(post("/b"), nil, shop), Match{Standing: Watched, Request: watched})
+	is.Equal(filter.Lookup(post("/a"), body, shop), Match{Standing: Quarantined, Request: fatal})
+	is.Equal(filter.Lookup(post("/a"), body, desk), Match{Standing: Watched, Request: fatal, Answered: true})
+	is.Equal(filter.Lookup(post("/a"), []byte("harmless"), shop), Match{})
+	is.Equal(filter.Lookup(post("/c"), body, shop), Match{})
+	is.Equal(filter.Lookup(post("/b"), nil, shop), Match{Standing: Watched, Request: watched})
 	is.Equal(filter.Count(Quarantined), 1)
 	is.True(filter.Set(nil)) // removes all suspects
-	is.Equal(filter.Look(post("/a"), body, shop), Match{})
+	is.Equal(filter.Lookup(post("/a"), body, shop), Match{})
 	is.Equal(filter.Set(&Watchlist{Modified: 9}), false)
 }
 
@@ -37,7 +37,7 @@
 // suspect on the same target.
 func BenchmarkLook(b *testing.B) {
 	suspect := func(path, body string) *Watchlist {
-		return &Watchlist{Entries: []Entry{{Request: Of(post(path), []byte(body)), Quarantined: true}}}
+		return &Watchlist{Entries: []Entry{{Request: FingerprintOf(post(path), []byte(body)), Quarantined: true}}}
 	}
 	for name, list := range map[string]*Watchlist{"none": nil, "others": suspect("/fatal", ""), "same path": suspect("/innocent/x", "fatal")} {
 		b.Run(name, func(b *testing.B) {
@@ -46,7 +46,7 @@
 			call, body := post("/innocent/x"), make([]byte, 1024)
 			b.ReportAllocs()
 			for b.Loop() {
-				filter.Look(call, body, shop)
+				filter.Lookup(call, body, shop)
 			}
 		})
 	}
--- a/pkg/quarantine/fingerprint.go
+++ b/pkg/quarantine/fingerprint.go
@@ -21,8 +21,8 @@
 	digestBytes      = 12
 )
 
-// Of returns the fingerprint of a request. body may be only the buffered beginning.
-func Of(r *http.Request, body []byte) Fingerprint {
+// FingerprintOf returns the fingerprint of a request. body may be only the buffered beginning.
+func FingerprintOf(r *http.Request, body []byte) Fingerprint {
 	target := targetOf(r)
 	digest := sha256.New()
 	var length [8]byte
--- a/pkg/quarantine/fingerprint_test.go
+++ b/pkg/quarantine/fingerprint_test.go
@@ -10,7 +10,7 @@
 func TestFingerprintDependsOnEveryPart(t *testing.T) {
 	is := is.New(t)
 	of := func(method, target, body string) Fingerprint {
-		return Of(httptest.NewRequest(method, target, nil), []byte(body))
+		return FingerprintOf(httptest.NewRequest(method, target, nil), []byte(body))
 	}
 	base := of("POST", "http://shop.example/order/a?x=1", "body")
 	is.Equal(base, of("POST", "http://SHOP.example/order/a?x=1", "body")) // host names are case-insensitive
--- a/pkg/quarantine/outbox.go
+++ b/pkg/quarantine/outbox.go
@@ -21,7 +21,7 @@
 	mu      sync.Mutex
 	ends    []pending[End]
 	answers []pending[Answer]
-	lost    int
+	dropped int
 }
 
 // pending is an item of evidence and when it was first sent.
@@ -31,15 +31,15 @@
 	at    time.Duration
 }
 
-// Ended adds a crash and reports whether it is new.
-func (o *Outbox) Ended(end End) bool {
+// AddCrash adds a crash and reports whether it is new.
+func (o *Outbox) AddCrash(end End) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return add(o, &o.ends, end)
 }
 
-// Answered adds a response to a suspect and reports whether it is new.
-func (o *Outbox) Answered(answer Answer) bool {
+// AddResponse adds a response to a suspect and reports whether it is new.
+func (o *Outbox) AddResponse(answer Answer) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return add(o, &o.answers, answer)
@@ -50,29 +50,29 @@
 		return false
 	}
 	if len(*list) >= maxPending {
-		o.lost++
+		o.dropped++
 		return false
 	}
 	*list = append(*list, pending[T]{value: value})
 	return true
 }
 
-// Lost returns the number of dropped items.
-func (o *Outbox) Lost() int {
+// Dropped returns the number of dropped items.
+func (o *Outbox) Dropped() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.lost
+	return o.dropped
 }
 
-// Take returns the evidence to send.
-func (o *Outbox) Take(now time.Duration) Evidence {
+// Pending returns the evidence to send.
+func (o *Outbox) Pending(now time.Duration) Evidence {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return Evidence{Ends: take(&o.ends, now), Answers: take(&o.answers, now)}
+	return Evidence{Ends: due(&o.ends, now), Answers: due(&o.answers, now)}
 }
 
-// take removes the items that have been resent for long enough and returns the others.
-func take[T comparable](list *[]pending[T], now time.Duration) []T {
+// due removes the items that have been resent for long enough and returns the others.
+func due[T comparable](list *[]pending[T], now time.Duration) []T {
 	*list = slices.DeleteFunc(*list, func(p pending[T]) bool { return p.sent && now-p.at >= resendTime })
 	var values []T
 	for i := range *list {
--- a/pkg/quarantine/outbox_test.go
+++ b/pkg/quarantine/outbox_test.go
@@ -11,17 +11,17 @@
 	is := is.New(t)
 	var outbox Outbox
 	end := End{Request: "r", Instance: "i1", Way: shop}
-	is.True(outbox.Ended(end))
-	is.Equal(outbox.Ended(end), false)
-	is.True(outbox.Answered(Answer{Request: "s", Way: desk}))
+	is.True(outbox.AddCrash(end))
+	is.Equal(outbox.AddCrash(end), false)
+	is.True(outbox.AddResponse(Answer{Request: "s", Way: desk}))
 	both := Evidence{Ends: []End{end}, Answers: []Answer{{Request: "s", Way: desk}}}
 	// Evidence must be kept until it can be sent.
-	is.Equal(outbox.Take(time.Hour), both)
-	is.Equal(outbox.Take(time.Hour+resendTime-1), both)
-	is.True(outbox.Take(time.Hour + resendTime).Empty())
+	is.Equal(outbox.Pending(time.Hour), both)
+	is.Equal(outbox.Pending(time.Hour+resendTime-1), both)
+	is.True(outbox.Pending(time.Hour + resendTime).Empty())
 	for i := range maxPending + 2 {
-		outbox.Ended(End{Request: "r", Instance: string(rune('a' + i))})
+		outbox.AddCrash(End{Request: "r", Instance: string(rune('a' + i))})
 	}
-	is.Equal(len(outbox.Take(0).Ends), maxPending)
-	is.Equal(outbox.Lost(), 2)
+	is.Equal(len(outbox.Pending(0).Ends), maxPending)
+	is.Equal(outbox.Dropped(), 2)
 }
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -128,8 +128,8 @@
 	return slices.ContainsFunc(t.All(), func(other Suspect) bool { return !other.Quarantined && s.sameCrashes(&other) })
 }
 
-// News returns the evidence that the table doesn't contain, without duplicates. Gates resend their evidence.
-func (t *Table) News(evidence Evidence) Evidence {
+// NewEvidence returns the evidence that the table doesn't contain, without duplicates. Gates resend their evidence.
+func (t *Table) NewEvidence(evidence Evidence) Evidence {
 	var added Evidence
 	for _, end := range evidence.Ends {
 		same := func(e End) bool { return e.Request == end.Request && e.Instance == end.Instance }
@@ -156,7 +156,7 @@
 		next.Suspects, next.Changes = slices.Clone(t.Suspects), t.Changes
 	}
 	next.Changes++
-	added := next.News(change.Evidence)
+	added := next.NewEvidence(change.Evidence)
 	changed := !added.Empty()
 	for _, end := range added.Ends {
 		next.addCrash(end)
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -69,11 +69,11 @@
 	end := watchedCrash("r", "i1", shop).Evidence
 	table := apply(nil, Change{Evidence: end.Join(end).Join(end)})
 	is.Equal(table.Suspects[0].crashCount(), 1)
-	is.Equal(len((*Table)(nil).News(end.Join(end)).Ends), 1)
+	is.Equal(len((*Table)(nil).NewEvidence(end.Join(end)).Ends), 1)
 	both := watchedCrash("r", "i2", shop).Evidence
 	table = apply(table, Change{Evidence: both})
 	answer := response("r", shop).Evidence
-	is.Equal(len(table.News(answer.Join(answer)).Answers), 1)
+	is.Equal(len(table.NewEvidence(answer.Join(answer)).Answers), 1)
 	is.Equal(len(apply(table, Change{Evidence: answer.Join(answer)}).Suspects[0].Answered), 1)
 }
 
@@ -83,7 +83,7 @@
 	is := is.New(t)
 	table := apply(nil, watchedCrash("r", "i1", shop), watchedCrash("r", "i2", shop), watchedCrash("r", "i3", shop), response("r", shop), verdict("r", Impose))
 	is.Equal(len(entries(table)), 0)
-	is.True(table.News(watchedCrash("r", "i3", shop).Evidence).Empty()) // resent evidence doesn't count again
+	is.True(table.NewEvidence(watchedCrash("r", "i3", shop).Evidence).Empty()) // resent evidence doesn't count again
 	// On another way there is no response: the quarantine must apply only there.
 	table = apply(table, watchedCrash("r", "i4", desk), watchedCrash("r", "i5", desk), watchedCrash("r", "i6", desk), verdict("r", Impose))
 	is.Equal(entries(table), []Entry{{Request: "r", Quarantined: true, Answered: []Way{shop}}})
