--- a/pkg/eligibility/eligibility.go
+++ b/pkg/eligibility/eligibility.go
@@ -17,7 +17,7 @@
 type Backend struct {
 	Service string
 	Zone    string
-	// Version is the software version. If it is empty, Refuses ignores rollouts.
+	// Version is the software version. If it is empty, RejectReasonOf ignores rollouts.
 	Version string
 }
 
@@ -42,9 +42,9 @@
 	return r.regions[zone]
 }
 
-// Refuses returns why a back end must not take new calls of any route, or an empty reason if it may. It
+// RejectReasonOf returns why a back end must not take new calls of any route, or an empty reason if it may. It
 // doesn't cover back ends that are shutting down.
-func (r *Rules) Refuses(b Backend) exchange.Reason {
+func (r *Rules) RejectReasonOf(b Backend) exchange.Reason {
 	if r == nil {
 		return ""
 	}
--- a/pkg/gate/closing.go
+++ b/pkg/gate/closing.go
@@ -56,7 +56,7 @@
 // finish. The version is left out, since versionRejectReason checks it for each call. g.mu must be
 // held.
 func (g *Gate) applyRules() {
-	reason := g.rules.Refuses(eligibility.Backend{Service: g.backend.Service, Zone: g.backend.Zone})
+	reason := g.rules.RejectReasonOf(eligibility.Backend{Service: g.backend.Service, Zone: g.backend.Zone})
 	previous := g.closed
 	if reason == previous.reason {
 		return
--- a/pkg/routing/routing.go
+++ b/pkg/routing/routing.go
@@ -189,7 +189,7 @@
 		e := &all[i]
 		e.Region = rules.Region(e.Zone)
 		backend := eligibility.Backend{Service: service.Name, Zone: e.Zone, Version: e.Version}
-		e.Refused, e.Closing = rules.Refuses(backend), rules.Closes(backend)
+		e.Refused, e.Closing = rules.RejectReasonOf(backend), rules.Closes(backend)
 	}
 	slices.SortFunc(all, func(a, b Endpoint) int { return strings.Compare(a.ID, b.ID) })
 	return all
