--- a/pkg/exchange/answer_buffer.go
+++ b/pkg/exchange/answer_buffer.go
@@ -7,8 +7,8 @@
 	"sync/atomic"
 )
 
-// AnswerBuffer bounds the bytes of large responses that a process buffers, however slowly their
-// callers read. It is safe for concurrent use; a nil AnswerBuffer has no bound.
+// ResponseBuffer bounds the bytes of large responses that a process buffers, however slowly their
+// callers read. It is safe for concurrent use; a nil ResponseBuffer has no bound.
 type AnswerBuffer struct {
 	limit int64
 	held  atomic.Int64
--- a/pkg/forward/handler.go
+++ b/pkg/forward/handler.go
@@ -79,11 +79,11 @@
 	Pacer *exchange.Pacer
 	// Answers, if set, paces large responses.
 	Answers *exchange.Pacer
-	// AnswerBuffer, if set, limits the memory for buffered responses.
+	// ResponseBuffer, if set, limits the memory for buffered responses.
 	AnswerBuffer *exchange.AnswerBuffer
 	// Quarantine matches suspect and quarantined requests; nil matches none.
 	Quarantine *quarantine.Filter
-	// OnEnded, if set, is called when a back end without a gate crashed during a call, OnAnswered when
+	// OnCrash, if set, is called when a back end without a gate crashed during a call, OnSuspectResponse when
 	// one responded to a suspect request. Gates report theirs themselves.
 	OnEnded    func(quarantine.End)
 	OnAnswered func(quarantine.Answer)
--- a/pkg/gate/body.go
+++ b/pkg/gate/body.go
@@ -34,7 +34,7 @@
 // bufferResponse reads a response completely if it fits into the buffer, so that a truncated
 // response is detected before any of it is forwarded. Larger ones are streamed.
 func (g *Gate) bufferResponse(response *http.Response) error {
-	data, rest, release, err := g.config.AnswerBuffer.ReadWhole(response)
+	data, rest, release, err := g.config.ResponseBuffer.ReadWhole(response)
 	if err != nil {
 		response.Body.Close()
 		return err
--- a/pkg/gate/closing.go
+++ b/pkg/gate/closing.go
@@ -16,10 +16,10 @@
 	// in flight.
 	Dropped int
 	Running int
-	// Quiet is set when the last running call of a closed gate has finished. Took is the time since
+	// Drained is set when the last running call of a closed gate has finished. SinceClosed is the time since
 	// the gate closed, zero for the closing itself.
-	Quiet bool
-	Took  time.Duration
+	Drained     bool
+	SinceClosed time.Duration
 }
 
 // closedState describes a gate that orders have closed.
@@ -64,7 +64,7 @@
 	now := g.config.Now()
 	if reason == "" {
 		g.closed = closedState{}
-		g.reportClosing(ClosingChange{Took: now - previous.at})
+		g.reportClosing(ClosingChange{SinceClosed: now - previous.at})
 		g.assumeCold(now)
 		return
 	}
@@ -81,7 +81,7 @@
 		return
 	}
 	g.closed.drained = true
-	g.reportClosing(ClosingChange{Reason: g.closed.reason, Quiet: true, Took: g.config.Now() - g.closed.at})
+	g.reportClosing(ClosingChange{Reason: g.closed.reason, Drained: true, SinceClosed: g.config.Now() - g.closed.at})
 }
 
 // reportClosing passes a change to the OnClosing callback. g.mu must be held.
--- a/pkg/gate/closing_test.go
+++ b/pkg/gate/closing_test.go
@@ -60,18 +60,18 @@
 	is.Equal(reason, exchange.ReasonEvacuated)
 	is.Equal(g.startReceiving(request{instance: "i1", deadline: time.Hour}), exchange.ReasonEvacuated)
 	is.Equal(g.Closed(), exchange.ReasonEvacuated)
-	is.Equal(g.Sender(), "") // a closed gate does not advertise free capacity
+	is.Equal(g.SenderReport(), "") // a closed gate does not advertise free capacity
 	now = 3 * time.Second
 	g.release(running, callResult{serviceTime: time.Second})
 	is.Equal(recorder.changes, []ClosingChange{
 		{Backend: "i1", Reason: exchange.ReasonEvacuated, Dropped: 1, Running: 1},
-		{Backend: "i1", Reason: exchange.ReasonEvacuated, Quiet: true, Took: 3 * time.Second},
+		{Backend: "i1", Reason: exchange.ReasonEvacuated, Drained: true, SinceClosed: 3 * time.Second},
 	})
 	g.SetRules(evacuated("a")) // orders for other zones are not reported
 	is.Equal(len(recorder.changes), 2)
 	now = 5 * time.Second
 	g.SetRules(evacuated())
-	is.Equal(recorder.changes[2], ClosingChange{Backend: "i1", Took: 5 * time.Second})
+	is.Equal(recorder.changes[2], ClosingChange{Backend: "i1", SinceClosed: 5 * time.Second})
 	_, reason = g.admitOne()
 	is.Equal(reason, exchange.Reason(""))
 }
@@ -108,5 +108,5 @@
 	_, reason = g.admitOne()
 	is.Equal(reason, exchange.ReasonEvacuated)
 	g.release(adm, callResult{})
-	is.True(recorder.changes[len(recorder.changes)-1].Quiet)
+	is.True(recorder.changes[len(recorder.changes)-1].Drained)
 }
--- a/pkg/gate/gate.go
+++ b/pkg/gate/gate.go
@@ -49,18 +49,18 @@
 	// Link measures the traffic on the machine's link and knows its capacity; nil means an
 	// unlimited link.
 	Link *link.Meter
-	// Answers paces large responses.
-	Answers *exchange.Pacer
-	// AnswerBuffer limits the memory for buffered large responses.
-	AnswerBuffer *exchange.AnswerBuffer
+	// ResponsePacer paces large responses.
+	ResponsePacer *exchange.Pacer
+	// ResponseBuffer limits the memory for buffered large responses.
+	ResponseBuffer *exchange.AnswerBuffer
 	// Quarantine matches requests that must not reach the back end; nil matches none.
 	Quarantine *quarantine.Filter
-	// OnEnded is called when the back end crashes during a call, OnAnswered when it responds to a
+	// OnCrash is called when the back end crashes during a call, OnSuspectResponse when it responds to a
 	// watched request.
-	OnEnded    func(quarantine.End)
-	OnAnswered func(quarantine.Answer)
-	// ServedHere reports whether the back end's region may serve a call; nil allows all.
-	ServedHere func(*http.Request) bool
+	OnCrash           func(quarantine.End)
+	OnSuspectResponse func(quarantine.Answer)
+	// RegionServes reports whether the back end's region may serve a call; nil allows all.
+	RegionServes func(*http.Request) bool
 	// OnSender is called with the load of the back end beside a call's sender, and with that back
 	// end's service.
 	OnSender func(service string, sender exchange.Sender)
@@ -71,10 +71,10 @@
 	// OnClosing is called when orders close the gate, when its running calls have finished and when
 	// it opens again. It is called with the gate locked and must not call the gate.
 	OnClosing func(ClosingChange)
-	// OnCold is called with the gate locked when the back end turns cold or warm, OnColdUnknown
+	// OnCold is called with the gate locked when the back end turns cold or warm, OnColdProbeFailed
 	// when a probe of its health path failed.
-	OnCold        func(ColdChange)
-	OnColdUnknown func(backend string, err error)
+	OnCold            func(ColdChange)
+	OnColdProbeFailed func(backend string, err error)
 }
 
 // Call describes a finished call for logs and metrics.
@@ -84,13 +84,13 @@
 	Reason exchange.Reason
 	Err    error
 	Status int
-	// OnItsWay is how much longer the call took to arrive than the fastest recent call of its
+	// TransitDelay is how much longer the call took to arrive than the fastest recent call of its
 	// sender.
-	OnItsWay time.Duration
-	Waited   time.Duration
-	Service  time.Duration
-	Report   exchange.Report
-	Backend  string
+	TransitDelay time.Duration
+	Waited       time.Duration
+	Service      time.Duration
+	Report       exchange.Report
+	Backend      string
 	// Fingerprint identifies a quarantined request, or one whose back end crashed.
 	Fingerprint quarantine.Fingerprint
 	// Watched is set if the request was a known suspect when the call was admitted.
@@ -170,7 +170,7 @@
 
 // serve handles a call from another node.
 func (g *Gate) serve(r *http.Request) *http.Response {
-	if !g.servedHere(r) {
+	if !g.regionServes(r) {
 		call := Call{RequestID: r.Header.Get(g.config.Headers.RequestID), Reason: exchange.ReasonRegion}
 		return g.reject(&call, http.StatusServiceUnavailable, exchange.NotRun)
 	}
@@ -192,7 +192,7 @@
 func (g *Gate) receiveBodyFirst(r *http.Request) *http.Response {
 	arrived := g.config.Now()
 	req := g.readArrival(r.Header, arrived)
-	call := Call{RequestID: r.Header.Get(g.config.Headers.RequestID), OnItsWay: req.transitDelay, Reason: g.startReceiving(req)}
+	call := Call{RequestID: r.Header.Get(g.config.Headers.RequestID), TransitDelay: req.transitDelay, Reason: g.startReceiving(req)}
 	if call.Reason != "" {
 		return g.reject(&call, http.StatusServiceUnavailable, exchange.NotRun)
 	}
@@ -254,7 +254,7 @@
 // admitAndSend waits for a slot and forwards the call, or returns a rejection. It rejects the call
 // if its large response could not be sent in time.
 func (g *Gate) admitAndSend(r *http.Request, req request, attach attachBody) *http.Response {
-	call := Call{RequestID: r.Header.Get(g.config.Headers.RequestID), OnItsWay: req.transitDelay}
+	call := Call{RequestID: r.Header.Get(g.config.Headers.RequestID), TransitDelay: req.transitDelay}
 	reserved, inTime := g.reserveResponse(req)
 	if !inTime {
 		call.Reason = exchange.ReasonLink
@@ -316,7 +316,7 @@
 		call.Reason, call.Err = exchange.ReasonBroken, err
 		return g.reject(call, http.StatusBadGateway, exchange.NotRun)
 	}
-	if !g.servedHere(r) {
+	if !g.regionServes(r) {
 		cancel()
 		g.release(adm, callResult{})
 		call.Reason = exchange.ReasonRegion
--- a/pkg/gate/gate_cold.go
+++ b/pkg/gate/gate_cold.go
@@ -30,9 +30,9 @@
 	g.updateCold(func(now time.Duration) { g.cold.setBounds(now, bounds) })
 }
 
-// HeardCold applies a heartbeat of the back end with this ID: how much longer it is cold, zero if
+// SetColdRemaining applies a heartbeat of the back end with this ID: how much longer it is cold, zero if
 // it is warm.
-func (g *Gate) HeardCold(id string, remaining time.Duration) {
+func (g *Gate) SetColdRemaining(id string, remaining time.Duration) {
 	g.updateCold(func(now time.Duration) {
 		if g.backend.ID == id {
 			g.cold.update(now, remaining, ColdHeartbeat)
@@ -84,8 +84,8 @@
 				g.cold.update(now, remaining, ColdHealth)
 			}
 		})
-		if err != nil && g.config.OnColdUnknown != nil {
-			g.config.OnColdUnknown(backend.ID, err)
+		if err != nil && g.config.OnColdProbeFailed != nil {
+			g.config.OnColdProbeFailed(backend.ID, err)
 		}
 	}()
 }
--- a/pkg/gate/outbound.go
+++ b/pkg/gate/outbound.go
@@ -119,7 +119,7 @@
 	if response.ContentLength < exchange.LargeAnswer {
 		return
 	}
-	paced := g.config.Answers.Answer(response.Body, int(response.ContentLength), g.transferTime(r, held))
+	paced := g.config.ResponsePacer.Answer(response.Body, int(response.ContentLength), g.transferTime(r, held))
 	response.Body = g.config.Link.Answer(paced, true)
 }
 
--- a/pkg/gate/outbound_test.go
+++ b/pkg/gate/outbound_test.go
@@ -38,7 +38,7 @@
 	t.Helper()
 	started := time.Now()
 	now := func() time.Duration { return time.Since(started) }
-	g := New(Config{Headers: testHeaders, Now: now, Link: link.NewMeter(8e6), Answers: exchange.NewAnswerPacer(8e6, noOtherTraffic, now)})
+	g := New(Config{Headers: testHeaders, Now: now, Link: link.NewMeter(8e6), ResponsePacer: exchange.NewAnswerPacer(8e6, noOtherTraffic, now)})
 	g.SetBackend(Backend{ID: "b1", Address: largeResponseServer(t), Capacity: capacity})
 	return g
 }
@@ -162,11 +162,11 @@
 func TestResponsesBeyondTheBufferLimitAreStreamed(t *testing.T) {
 	is := is.New(t)
 	g := newGateWithLink(t, 1)
-	g.config.AnswerBuffer = exchange.NewAnswerBuffer(150_000)
+	g.config.ResponseBuffer = exchange.NewAnswerBuffer(150_000)
 	first := get(t, g, "first", "Want-Bytes", "200000")
-	is.Equal(g.config.AnswerBuffer.Held(), int64(200_000))
+	is.Equal(g.config.ResponseBuffer.Held(), int64(200_000))
 	second := get(t, g, "second", "Want-Bytes", "200000")
-	is.Equal(g.config.AnswerBuffer.Held(), int64(200_000))                                     // not buffered
+	is.Equal(g.config.ResponseBuffer.Held(), int64(200_000))                                   // not buffered
 	is.Equal(reasonOf(get(t, g, "third", exchange.HeaderWait, "1")), exchange.ReasonFull)      // the slot is taken
 	is.Equal(get(t, g, "small", "Want-Bytes", "10", exchange.HeaderWait, "1").StatusCode, 503) // also against small calls
 	data, err := io.ReadAll(second.Body)
@@ -175,7 +175,7 @@
 	second.Body.Close()
 	is.Equal(get(t, g, "small", "Want-Bytes", "10").StatusCode, http.StatusOK)
 	first.Body.Close()
-	is.Equal(g.config.AnswerBuffer.Held(), int64(0))
+	is.Equal(g.config.ResponseBuffer.Held(), int64(0))
 }
 
 // A large response that its caller does not read completely must return the rest of its link time.
--- a/pkg/gate/quarantine.go
+++ b/pkg/gate/quarantine.go
@@ -38,20 +38,20 @@
 // here, so that successful calls do not pay for it.
 func (g *Gate) reportCrash(r *http.Request, body *exchange.Body, adm admission, call *Call) {
 	call.Reason, call.Fingerprint = exchange.ReasonEnded, quarantine.FingerprintOf(r, body.Data())
-	if g.config.OnEnded == nil {
+	if g.config.OnCrash == nil {
 		return
 	}
-	g.config.OnEnded(quarantine.End{Request: call.Fingerprint, Instance: adm.backend.ID, Way: g.callerAndService(r, adm), Watched: call.Watched})
+	g.config.OnCrash(quarantine.End{Request: call.Fingerprint, Instance: adm.backend.ID, Way: g.callerAndService(r, adm), Watched: call.Watched})
 }
 
 // reportResponse reports that the back end responded to a watched request.
 func (g *Gate) reportResponse(r *http.Request, body *exchange.Body, adm admission, status int) {
-	if g.config.OnAnswered == nil || !exchange.Outlived(status) {
+	if g.config.OnSuspectResponse == nil || !exchange.Outlived(status) {
 		return
 	}
 	match := g.matchQuarantine(r, body, adm)
 	if match.Standing == quarantine.Unsuspected || match.Answered {
 		return
 	}
-	g.config.OnAnswered(quarantine.Answer{Request: match.Request, Way: g.callerAndService(r, adm)})
+	g.config.OnSuspectResponse(quarantine.Answer{Request: match.Request, Way: g.callerAndService(r, adm)})
 }
--- a/pkg/gate/quarantine_test.go
+++ b/pkg/gate/quarantine_test.go
@@ -56,8 +56,8 @@
 	configure := func(g *Gate, address string) *Gate {
 		g.SetBackend(Backend{ID: "b2", Service: "orders", Address: address, Capacity: 1})
 		g.config.Quarantine = &quarantine.Filter{}
-		g.config.OnEnded = func(end quarantine.End) { crashes = append(crashes, end) }
-		g.config.OnAnswered = func(answer quarantine.Answer) { responses = append(responses, answer) }
+		g.config.OnCrash = func(end quarantine.End) { crashes = append(crashes, end) }
+		g.config.OnSuspectResponse = func(answer quarantine.Answer) { responses = append(responses, answer) }
 		return g
 	}
 	request := quarantine.FingerprintOf(callWithBody(t, "any", ""), []byte("fatal"))
@@ -98,7 +98,7 @@
 			})
 			g := newGateFor(address, 1)
 			cleared := false
-			g.config.OnAnswered = func(quarantine.Answer) { cleared = true }
+			g.config.OnSuspectResponse = func(quarantine.Answer) { cleared = true }
 			g.config.Quarantine = &quarantine.Filter{}
 			g.config.Quarantine.Set(&quarantine.Watchlist{Entries: []quarantine.Entry{{Request: quarantine.FingerprintOf(callWithBody(t, "any", ""), []byte("fatal"))}}})
 			is.Equal(g.serve(callWithBody(t, "a", "fatal")).StatusCode, status)
--- a/pkg/gate/region.go
+++ b/pkg/gate/region.go
@@ -8,10 +8,10 @@
 	"bramblelift/pkg/exchange"
 )
 
-// servedHere reports whether the back end's region may serve a call. Callers' nodes check too; the
+// regionServes reports whether the back end's region may serve a call. Callers' nodes check too; the
 // gate checks its own configuration before it receives a body, and again after the call has waited.
-func (g *Gate) servedHere(r *http.Request) bool {
-	return g.config.ServedHere == nil || g.config.ServedHere(r)
+func (g *Gate) regionServes(r *http.Request) bool {
+	return g.config.RegionServes == nil || g.config.RegionServes(r)
 }
 
 // setHeldTime adds the time that a call spent at the gate to the response, if the sender asks for
--- a/pkg/gate/region_test.go
+++ b/pkg/gate/region_test.go
@@ -25,7 +25,7 @@
 	})
 	g := newGateFor(address, 1)
 	var forbidden atomic.Bool
-	g.config.ServedHere = func(*http.Request) bool { return !forbidden.Load() }
+	g.config.RegionServes = func(*http.Request) bool { return !forbidden.Load() }
 	first := make(chan *http.Response)
 	go func() { first <- g.serve(callWithBody(t, "running", "")) }()
 	for calls.Load() == 0 {
--- a/pkg/gate/sender.go
+++ b/pkg/gate/sender.go
@@ -6,9 +6,9 @@
 	"bramblelift/pkg/exchange"
 )
 
-// Sender returns the load of the back end beside the node for outgoing calls to carry, empty while
+// SenderReport returns the load of the back end beside the node for outgoing calls to carry, empty while
 // the back end has no free slot or is cold.
-func (g *Gate) Sender() string {
+func (g *Gate) SenderReport() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.config.Now()
--- a/pkg/gate/sender_test.go
+++ b/pkg/gate/sender_test.go
@@ -33,13 +33,13 @@
 func TestSenderIsEmptyWithoutAFreeSlot(t *testing.T) {
 	is := is.New(t)
 	g := New(Config{Headers: testHeaders, Now: func() time.Duration { return 0 }})
-	is.Equal(g.Sender(), "")
+	is.Equal(g.SenderReport(), "")
 	g.SetBackend(Backend{ID: "b1", Capacity: 2})
-	is.Equal(g.Sender(), "b1=0,0,2,0")
+	is.Equal(g.SenderReport(), "b1=0,0,2,0")
 	g.takeSlot(0, 0)
-	is.Equal(g.Sender(), "b1=1,0,2,0")
+	is.Equal(g.SenderReport(), "b1=1,0,2,0")
 	g.takeSlot(0, 0)
-	is.Equal(g.Sender(), "")
+	is.Equal(g.SenderReport(), "")
 	g.RemoveBackend("b1")
-	is.Equal(g.Sender(), "")
+	is.Equal(g.SenderReport(), "")
 }
--- a/pkg/gate/transit_test.go
+++ b/pkg/gate/transit_test.go
@@ -78,7 +78,7 @@
 	g := newGateFor(backend.Listener.Addr().String(), 2)
 	started := time.Now()
 	g.config.Now = func() time.Duration { return time.Minute + time.Since(started) }
-	g.config.Answers = exchange.NewPacer(1e9, 0.9, g.config.Now)
+	g.config.ResponsePacer = exchange.NewPacer(1e9, 0.9, g.config.Now)
 	for _, id := range []string{"first", "second"} {
 		sent := exchange.Sent{Process: 7, At: g.config.Now()}
 		w := httptest.NewRecorder()
--- a/pkg/gate/unreadable_body_test.go
+++ b/pkg/gate/unreadable_body_test.go
@@ -16,7 +16,7 @@
 	is := is.New(t)
 	b := newColdBackend(t, 0)
 	g := b.newGate(20)
-	g.HeardCold("b1", 0)
+	g.SetColdRemaining("b1", 0)
 	call := httptest.NewRequest("POST", "http://gate/x", iotest.ErrReader(errors.New("malformed chunk")))
 	call.Header.Set("Call-Id", "unreadable")
 	recorder := httptest.NewRecorder()
--- a/pkg/gate/version_test.go
+++ b/pkg/gate/version_test.go
@@ -283,7 +283,7 @@
 	report, _ := v.RolloutReport()
 	is.True(report.Cold)
 	is.Equal(report.Routes, []rollout.RouteCount{{Route: "r", Answered: 1}})
-	v.HeardCold("b1", 0)
+	v.SetColdRemaining("b1", 0)
 	is.Equal(v.call(t, exchange.HeaderRoute, "r"), exchange.Reason(""))
 	report, _ = v.RolloutReport()
 	is.True(!report.Cold)
--- a/pkg/gate/warmed_early_test.go
+++ b/pkg/gate/warmed_early_test.go
@@ -15,7 +15,7 @@
 	is := is.New(t)
 	b := newColdBackend(t, 0)
 	g := b.newGate(1)
-	g.HeardCold("b1", time.Minute)
+	g.SetColdRemaining("b1", time.Minute)
 	do(g, newCall(t, "POST", "first")).Body.Close()
 	began := sinceStart()
 	waited := make(chan time.Duration, 1)
@@ -27,6 +27,6 @@
 	for g.Report().Queued == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	g.HeardCold("b1", 100*time.Millisecond)
+	g.SetColdRemaining("b1", 100*time.Millisecond)
 	is.True(<-waited < 600*time.Millisecond) // the rate alone would admit it after a second
 }
--- a/pkg/proxy/closing.go
+++ b/pkg/proxy/closing.go
@@ -14,10 +14,10 @@
 // again, and reports the change to the control plane.
 func (s *Server) onClosingChange(c gate.ClosingChange) {
 	s.controlClient.PingSoon()
-	took := c.Took.Round(time.Millisecond)
+	took := c.SinceClosed.Round(time.Millisecond)
 	switch {
-	case c.Quiet:
-		s.observer.gateDrainTime.Set(c.Took.Seconds())
+	case c.Drained:
+		s.observer.gateDrainTime.Set(c.SinceClosed.Seconds())
 		s.logger.Log("event", "gate_quiet", "instance", c.Backend, "reason", string(c.Reason), "took", took)
 	case c.Reason != "":
 		s.logger.Log("event", "gate_closed", "instance", c.Backend, "reason", string(c.Reason), "let_go", c.Dropped, "running", c.Running)
--- a/pkg/proxy/gate.go
+++ b/pkg/proxy/gate.go
@@ -25,12 +25,12 @@
 	}
 	s.gate = gate.New(gate.Config{
 		Headers: s.settings.Headers, Now: s.clock.Elapsed, OnCall: s.observer.gateCall,
-		ServedHere: func(r *http.Request) bool { return s.forwarder.ServedIn(s.settings.Zone, r) },
-		Link:       s.link, Answers: s.responsePacer, AnswerBuffer: s.responseBuffer,
-		Quarantine: &s.quarantine, OnEnded: s.onCrash, OnAnswered: s.onWatchedResponse,
+		RegionServes: func(r *http.Request) bool { return s.forwarder.ServedIn(s.settings.Zone, r) },
+		Link:         s.link, ResponsePacer: s.responsePacer, ResponseBuffer: s.responseBuffer,
+		Quarantine: &s.quarantine, OnCrash: s.onCrash, OnSuspectResponse: s.onWatchedResponse,
 		OnClosing: s.onClosingChange,
 		OnSender:  func(service string, sender exchange.Sender) { s.forwarder.HearOf(service, sender) },
-		OnCold:    s.observer.logColdChange, OnColdUnknown: s.observer.logColdUnknown,
+		OnCold:    s.observer.logColdChange, OnColdProbeFailed: s.observer.logColdUnknown,
 		ConfirmedAt: func() (time.Duration, bool) { return s.controlClient.ConfirmedAt() },
 	})
 	s.observer.registerGate(s.admin.Registry, s.gate)
--- a/pkg/proxy/observer.go
+++ b/pkg/proxy/observer.go
@@ -209,6 +209,6 @@
 		return
 	}
 	o.logger.Log("event", "gate_refused", "request", call.RequestID, "instance", call.Backend, "reason", string(call.Reason),
-		"error", call.Err, "on_its_way", call.OnItsWay.Round(time.Millisecond), "waited", call.Waited.Round(time.Microsecond), "service", call.Service.Round(time.Microsecond),
+		"error", call.Err, "on_its_way", call.TransitDelay.Round(time.Millisecond), "waited", call.Waited.Round(time.Microsecond), "service", call.Service.Round(time.Microsecond),
 		"running", call.Report.Running, "queued", call.Report.Queued, "capacity", call.Report.Capacity, "fingerprint", call.Fingerprint.Short())
 }
--- a/pkg/proxy/proxy.go
+++ b/pkg/proxy/proxy.go
@@ -230,7 +230,7 @@
 	config.Answers, config.AnswerBuffer = s.responsePacer, s.responseBuffer
 	if s.gate != nil {
 		config.BackendHost, config.RetryShare = s.backendHost(), s.gate.RetryShare
-		config.GateAddress, config.Gate, config.Sender = s.settings.GateAdvertise, s.gate.Do, s.gate.Sender
+		config.GateAddress, config.Gate, config.Sender = s.settings.GateAdvertise, s.gate.Do, s.gate.SenderReport
 		config.Retry = retry.Config{Ratio: s.settings.Retries.Ratio, Max: maxSavedRetries}
 	}
 	return config
--- a/pkg/registration/registration.go
+++ b/pkg/registration/registration.go
@@ -60,9 +60,9 @@
 type Gate interface {
 	SetBackend(gate.Backend)
 	RemoveBackend(id string)
-	// HeardCold is called on each heartbeat with the remaining time in which the back end must get a
+	// SetColdRemaining is called on each heartbeat with the remaining time in which the back end must get a
 	// reduced rate of calls, zero if it is warm.
-	HeardCold(id string, remaining time.Duration)
+	SetColdRemaining(id string, remaining time.Duration)
 }
 
 // Config configures a Registry.
@@ -137,7 +137,7 @@
 		r.removeReplaced(h)
 		r.backends[h.ID] = &registeredBackend{heartbeat: h}
 		r.updateGate(h)
-		r.config.Gate.HeardCold(h.ID, h.Cold)
+		r.config.Gate.SetColdRemaining(h.ID, h.Cold)
 		return true
 	}
 	if h.Sequence <= entry.heartbeat.Sequence {
@@ -150,7 +150,7 @@
 		entry.acknowledged = false
 		r.updateGate(h)
 	}
-	r.config.Gate.HeardCold(h.ID, h.Cold)
+	r.config.Gate.SetColdRemaining(h.ID, h.Cold)
 	return changed
 }
 
--- a/pkg/registration/registration_test.go
+++ b/pkg/registration/registration_test.go
@@ -20,7 +20,7 @@
 func (g *recordingGate) SetBackend(b gate.Backend) {
 	g.updates = append(g.updates, fmt.Sprintf("set %s %d", b.ID, b.Capacity))
 }
-func (g *recordingGate) HeardCold(id string, remaining time.Duration) {
+func (g *recordingGate) SetColdRemaining(id string, remaining time.Duration) {
 	g.cold = append(g.cold, fmt.Sprint(id, " ", remaining))
 }
 
