--- a/pkg/balancer/gated.go
+++ b/pkg/balancer/gated.go
@@ -309,7 +309,7 @@
 	t.endpoint.link = linkState{wait: report.LinkWait, at: now}
 }
 
-// HearOf stores a back end's report that arrived without a response. It ignores back ends outside the pool:
+// UpdateReport stores a back end's report that arrived without a response. It ignores back ends outside the pool:
 // they may belong to another node's subset.
 func (p *Pool) HearOf(now time.Duration, sender exchange.Sender) {
 	p.mu.Lock()
--- a/pkg/forward/busy_link_test.go
+++ b/pkg/forward/busy_link_test.go
@@ -233,7 +233,7 @@
 			})
 			n := newGatedNodeWith(t, func(cfg *Config) {
 				c.change(cfg)
-				cfg.Sender = func() string { return "b1=0,0,4,0" }
+				cfg.SenderReport = func() string { return "b1=0,0,4,0" }
 			}, []string{"other"}, gate)
 			fillLink(t, n)
 			n.call(t, "GET", "/safe/x", "", exchange.HeaderSender, "forged=0,0,4,0")
--- a/pkg/forward/caller_timeouts_test.go
+++ b/pkg/forward/caller_timeouts_test.go
@@ -90,10 +90,10 @@
 	mayRun := func(method, path string) bool {
 		r := httptest.NewRequest(method, path, nil)
 		r.Host = "shop.example"
-		return handler.MayRunBeside(r)
+		return handler.MayRunConcurrently(r)
 	}
 	is.True(mayRun(http.MethodGet, "/safe/x"))
 	is.True(!mayRun(http.MethodGet, "/unsafe/x")) // whatever the method is
 	is.True(!mayRun(http.MethodGet, "/nowhere/x"))
-	is.True(!New(Config{}).MayRunBeside(httptest.NewRequest(http.MethodGet, "/safe/x", nil)))
+	is.True(!New(Config{}).MayRunConcurrently(httptest.NewRequest(http.MethodGet, "/safe/x", nil)))
 }
--- a/pkg/forward/gate_choice.go
+++ b/pkg/forward/gate_choice.go
@@ -18,9 +18,9 @@
 	// maxFullGates is how many gates may report that they are full before a call is rejected while the
 	// link is busy.
 	maxFullGates = 3
-	// ownWaitDivisor divides the time left until the target latency to limit the wait at the node's own
+	// ownGateWaitDivisor divides the time left until the target latency to limit the wait at the node's own
 	// gate, so that the caller still has time to retry.
-	ownWaitDivisor = 4
+	ownGateWaitDivisor = 4
 	// scarceRatio is the share of attempts that gates reject above which a free slot is preferred to a
 	// fast back end.
 	scarceRatio = 0.1
@@ -50,9 +50,9 @@
 	// shortWorkDivisor divides the mean service time: calls shorter than that are exempt from the limit
 	// above, since they hardly delay other calls.
 	shortWorkDivisor = 3
-	// ownWorkDivisor divides the time left to limit the service time up to which the back end beside
+	// ownGateMaxServiceDivisor divides the time left to limit the service time up to which the back end beside
 	// the node is preferred.
-	ownWorkDivisor = 2
+	ownGateMaxServiceDivisor = 2
 	// bodyTimeDivisor divides the time left to limit the transfer time of a large body.
 	bodyTimeDivisor = 3
 )
@@ -76,7 +76,7 @@
 	request.Spared = g.handler.regionDelays.congested(now, g.largeResponse() || g.body.Size() > largeBodyBytes)
 	request.Version = g.versionChoice(now)
 	if g.countedAttempts == 0 {
-		request.OwnWork = g.ownWork(now)
+		request.OwnWork = g.ownGateMaxService(now)
 	}
 	return request
 }
@@ -89,7 +89,7 @@
 		request.LocalWait = g.localWait(now)
 		request.AskLocal = g.body.Size() > largeBodyBytes
 		if g.largeResponse() {
-			request.OwnWait = min(request.Patience, max(0, g.targetLeft(now)/ownWaitDivisor))
+			request.OwnWait = min(request.Patience, max(0, g.targetLeft(now)/ownGateWaitDivisor))
 		}
 		ticket, wait, err := g.service.pool.AcquireGate(now, request)
 		if err == nil || len(g.full) == 0 {
@@ -110,7 +110,7 @@
 	}
 	request := g.gateRequest(now)
 	request.LeftOut = slices.Concat(g.excluded, g.full)
-	request.OwnWait = g.ownWait(now, request.Patience)
+	request.OwnWait = g.ownGateWait(now, request.Patience)
 	request.AskLocal = g.body.Size() > largeBodyBytes
 	if len(g.full) == 0 {
 		request.LocalWait = g.localWait(now)
@@ -128,13 +128,13 @@
 	return ticket, wait, err
 }
 
-// ownWait returns how long the call may wait at the node's own gate before others are attempted.
+// ownGateWait returns how long the call may wait at the node's own gate before others are attempted.
 // An attempt there sends no message over the link.
-func (g *gatedCall) ownWait(now, maxWait time.Duration) time.Duration {
+func (g *gatedCall) ownGateWait(now, maxWait time.Duration) time.Duration {
 	if g.body.Size() > largeBodyBytes || g.largeResponse() || g.route.TargetLatency == 0 {
 		return maxWait
 	}
-	return min(maxWait, max(0, g.targetLeft(now)/ownWaitDivisor))
+	return min(maxWait, max(0, g.targetLeft(now)/ownGateWaitDivisor))
 }
 
 // largeResponse reports whether a large response is expected.
@@ -163,13 +163,13 @@
 	return max(0, time.Duration(share*float64(g.targetLeft(now)-reserved)))
 }
 
-// ownWork returns the service time up to which the back end beside the node is preferred.
-func (g *gatedCall) ownWork(now time.Duration) time.Duration {
+// ownGateMaxService returns the service time up to which the back end beside the node is preferred.
+func (g *gatedCall) ownGateMaxService(now time.Duration) time.Duration {
 	left := g.deadline - now
 	if g.route.TargetLatency > 0 {
 		left = min(left, g.targetLeft(now))
 	}
-	return left / ownWorkDivisor
+	return left / ownGateMaxServiceDivisor
 }
 
 // maxWait returns how long the call may wait at a gate.
--- a/pkg/forward/gate_exchange.go
+++ b/pkg/forward/gate_exchange.go
@@ -109,7 +109,7 @@
 		response.Body.Close()
 		return nil, &gateFailure{reason: exchange.ReasonBroken, outcome: Unknown, peer: ticket.Address, err: exchange.ErrWrongAnswer}
 	}
-	data, rest, release, err := g.handler.config.AnswerBuffer.ReadWhole(response)
+	data, rest, release, err := g.handler.config.ResponseBuffer.ReadWhole(response)
 	if err != nil {
 		response.Body.Close()
 		return nil, &gateFailure{reason: exchange.ReasonBroken, outcome: Unknown, peer: ticket.Address, err: err}
@@ -170,8 +170,8 @@
 // senderReport returns the load report of the back end beside the node that is sent with the call,
 // empty for none. It is sent only while the link is busy.
 func (g *gatedCall) senderReport(ticket *balancer.Ticket) string {
-	if g.handler.config.Sender == nil || !g.linkBusy || g.isOwnGate(ticket) {
+	if g.handler.config.SenderReport == nil || !g.linkBusy || g.isOwnGate(ticket) {
 		return ""
 	}
-	return g.handler.config.Sender()
+	return g.handler.config.SenderReport()
 }
--- a/pkg/forward/handler.go
+++ b/pkg/forward/handler.go
@@ -51,8 +51,8 @@
 	// Now returns the process's monotonic clock.
 	Now   func() time.Duration
 	Retry retry.Config
-	// Declines limits retries of calls that a back end declined.
-	Declines retry.Config
+	// DeclinedRetries limits retries of calls that a back end declined.
+	DeclinedRetries retry.Config
 	// OnCall, if set, is called after each call.
 	OnCall func(Call)
 	// Headers are the header names of calls; the zero value has defaults.
@@ -63,8 +63,8 @@
 	// the own gate, without a connection; its second argument is the buffered part of the request body.
 	GateAddress string
 	Gate        func(*http.Request, *exchange.Body) *http.Response
-	// Sender, if set, returns the load report of the back end beside the node for calls to other nodes.
-	Sender func() string
+	// SenderReport, if set, returns the load report of the back end beside the node for calls to other nodes.
+	SenderReport func() string
 	// StopsAt, if set, returns when the process stops, zero if it does not. Calls with a later deadline
 	// are rejected.
 	StopsAt func() time.Duration
@@ -77,23 +77,23 @@
 	Link *link.Meter
 	// Pacer, if set, paces large request bodies.
 	Pacer *exchange.Pacer
-	// Answers, if set, paces large responses.
-	Answers *exchange.Pacer
+	// ResponsePacer, if set, paces large responses.
+	ResponsePacer *exchange.Pacer
 	// ResponseBuffer, if set, limits the memory for buffered responses.
-	AnswerBuffer *exchange.AnswerBuffer
+	ResponseBuffer *exchange.AnswerBuffer
 	// Quarantine matches suspect and quarantined requests; nil matches none.
 	Quarantine *quarantine.Filter
 	// OnCrash, if set, is called when a back end without a gate crashed during a call, OnSuspectResponse when
 	// one responded to a suspect request. Gates report theirs themselves.
-	OnEnded    func(quarantine.End)
-	OnAnswered func(quarantine.Answer)
+	OnCrash           func(quarantine.End)
+	OnSuspectResponse func(quarantine.Answer)
 	// BackendHost is the source address of calls by the back end beside the node. RetryShare, if set,
 	// returns the share of retries among the calls that are in flight there.
 	BackendHost netip.Addr
 	RetryShare  func() float64
-	// OnCrowding, if set, is called when the congestion of the link to another region changes; rise is
+	// OnCongestion, if set, is called when the congestion of the link to another region changes; rise is
 	// the increase of its delay.
-	OnCrowding func(region string, crowding link.Crowding, rise time.Duration)
+	OnCongestion func(region string, congestion link.Crowding, rise time.Duration)
 	// Quotas, if set, enforce the tenants' rate limits.
 	Quotas Quotas
 	// KeysStaleLimit is the maximum age of the configuration for calls that need a key, zero for no limit.
@@ -141,11 +141,11 @@
 type service struct {
 	pool      *balancer.Pool
 	transport *http.Transport
-	// budget limits retries after failures, declines those of calls that a back end declined, which are
+	// budget limits retries after failures, declinedRetries those of calls that a back end declined, which are
 	// cheap for it.
-	budget   *retry.Budget
-	declines *retry.Budget
-	tracker  rolloutTracker
+	budget          *retry.Budget
+	declinedRetries *retry.Budget
+	tracker         rolloutTracker
 }
 
 // snapshot is a routing table with its services. It is replaced as a whole.
@@ -176,7 +176,7 @@
 		config.Headers.Deadline = exchange.HeaderTimeout
 	}
 	h := &Handler{config: config, gates: newGateTransport(config.Link), serviceTime: newServiceTimes(), throttles: newThrottles(), callerTimeouts: newCallerTimeouts(),
-		regionDelays: newRegionDelays(config.OnCrowding), clockID: rand.Uint32()}
+		regionDelays: newRegionDelays(config.OnCongestion), clockID: rand.Uint32()}
 	return h
 }
 
@@ -228,7 +228,7 @@
 	}
 	return &service{
 		pool:   balancer.NewPool(balancer.Config{Node: h.config.Node, Zone: h.config.Zone, Region: h.config.Region, OwnGate: h.config.GateAddress, Random: rand.IntN}),
-		budget: retry.NewBudget(h.config.Retry), declines: retry.NewBudget(h.config.Declines),
+		budget: retry.NewBudget(h.config.Retry), declinedRetries: retry.NewBudget(h.config.DeclinedRetries),
 		transport: &http.Transport{
 			DialContext:         dialer.DialContext,
 			MaxConnsPerHost:     connections,
@@ -266,9 +266,9 @@
 	return pools
 }
 
-// MayRunBeside reports whether a call may run concurrently with others of its connection, because
+// MayRunConcurrently reports whether a call may run concurrently with others of its connection, because
 // it may run more than once.
-func (h *Handler) MayRunBeside(r *http.Request) bool {
+func (h *Handler) MayRunConcurrently(r *http.Request) bool {
 	current := h.snapshot.Load()
 	if current == nil {
 		return false
@@ -299,7 +299,7 @@
 	repeatable bool
 	// attempts counts the attempts that reached a back end; without gates also failed connections.
 	attempts    int
-	record      Record
+	record      OutcomeRecord
 	excludedIDs []string
 	// arrivedAt is when the node received the call, firstAttemptAt when the caller is estimated to have
 	// made its first attempt.
@@ -387,7 +387,7 @@
 	ctx, cancel := context.WithTimeout(c.request.Context(), timeout)
 	defer cancel()
 	c.service.budget.Attempt(c.arrivedAt)
-	c.service.declines.Attempt(c.arrivedAt)
+	c.service.declinedRetries.Attempt(c.arrivedAt)
 	return c.attemptUntilDone(ctx)
 }
 
@@ -525,22 +525,22 @@
 	if c.matchQuarantine(c.body.data).Standing != quarantine.Unsuspected || c.keyRevoked() {
 		return false
 	}
-	permitted := MayRetry(Situation{
-		Outcome: failure.outcome, Safe: c.repeatable, BodyWhole: c.body.replayable(),
+	permitted := MayRetry(RetryState{
+		Outcome: failure.outcome, Repeatable: c.repeatable, BodyReplayable: c.body.replayable(),
 		RetriedBefore: c.request.Header.Get(HeaderRetry) != "",
-		Attempts:      c.attempts, OutOfTime: ctx.Err() != nil,
+		Attempts:      c.attempts, Expired: ctx.Err() != nil,
 	})
 	if !permitted {
 		return false
 	}
 	if failure.declined() {
-		return c.service.declines.Withdraw(c.handler.config.Now())
+		return c.service.declinedRetries.Withdraw(c.handler.config.Now())
 	}
 	return c.service.budget.Withdraw(c.handler.config.Now())
 }
 
-// HearOf records the load report of a back end that came with a call from the node beside it.
-func (h *Handler) HearOf(service string, sender exchange.Sender) {
+// UpdateReport records the load report of a back end that came with a call from the node beside it.
+func (h *Handler) UpdateReport(service string, sender exchange.Sender) {
 	if svc := h.snapshot.Load().service(service); svc != nil {
 		svc.pool.HearOf(h.config.Now(), sender)
 	}
--- a/pkg/forward/handler_test.go
+++ b/pkg/forward/handler_test.go
@@ -25,7 +25,7 @@
 func startNode(t *testing.T, addresses ...string) *httptest.Server {
 	t.Helper()
 	started := time.Now()
-	handler := New(Config{Node: "n", Now: func() time.Duration { return time.Since(started) }, Retry: retry.DefaultConfig(), Declines: retry.DeclineConfig()})
+	handler := New(Config{Node: "n", Now: func() time.Duration { return time.Since(started) }, Retry: retry.DefaultConfig(), DeclinedRetries: retry.DeclineConfig()})
 	handler.SetTable(newTable(addresses...))
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
@@ -275,7 +275,7 @@
 	listener.Close()
 	for name, server := range map[string]*httptest.Server{
 		"no back end": startNode(t), "connection refused": startNode(t, closed),
-		"no configuration": httptest.NewServer(New(Config{Now: func() time.Duration { return 0 }, Retry: retry.DefaultConfig(), Declines: retry.DeclineConfig()})),
+		"no configuration": httptest.NewServer(New(Config{Now: func() time.Duration { return 0 }, Retry: retry.DefaultConfig(), DeclinedRetries: retry.DeclineConfig()})),
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -353,22 +353,22 @@
 }
 
 func TestMayRetry(t *testing.T) {
-	base := Situation{Outcome: NotRun, BodyWhole: true, Attempts: 1}
+	base := RetryState{Outcome: NotRun, BodyReplayable: true, Attempts: 1}
 	for name, test := range map[string]struct {
-		change func(*Situation)
+		change func(*RetryState)
 		want   bool
 	}{
-		"not run":           {func(*Situation) {}, true},
-		"unknown":           {func(s *Situation) { s.Outcome = Unknown }, false},
-		"unknown but safe":  {func(s *Situation) { s.Outcome = Unknown; s.Safe = true }, true},
-		"body gone":         {func(s *Situation) { s.BodyWhole = false }, false},
-		"earlier hop":       {func(s *Situation) { s.RetriedBefore = true }, false},
-		"out of time":       {func(s *Situation) { s.OutOfTime = true }, false},
-		"too many attempts": {func(s *Situation) { s.Attempts = maxAttempts }, false},
+		"not run":           {func(*RetryState) {}, true},
+		"unknown":           {func(s *RetryState) { s.Outcome = Unknown }, false},
+		"unknown but safe":  {func(s *RetryState) { s.Outcome = Unknown; s.Repeatable = true }, true},
+		"body gone":         {func(s *RetryState) { s.BodyReplayable = false }, false},
+		"earlier hop":       {func(s *RetryState) { s.RetriedBefore = true }, false},
+		"out of time":       {func(s *RetryState) { s.Expired = true }, false},
+		"too many attempts": {func(s *RetryState) { s.Attempts = maxAttempts }, false},
 	} {
-		situation := base
-		test.change(&situation)
-		if got := MayRetry(situation); got != test.want {
+		state := base
+		test.change(&state)
+		if got := MayRetry(state); got != test.want {
 			t.Errorf("%s: MayRetry = %t, want %t", name, got, test.want)
 		}
 	}
--- a/pkg/forward/pacing.go
+++ b/pkg/forward/pacing.go
@@ -13,7 +13,7 @@
 	if response.ContentLength < exchange.LargeAnswer {
 		return
 	}
-	response.Body = g.handler.config.Answers.Answer(response.Body, int(response.ContentLength), g.responseTransferTime())
+	response.Body = g.handler.config.ResponsePacer.Answer(response.Body, int(response.ContentLength), g.responseTransferTime())
 	response.Body = g.handler.config.Link.Answer(response.Body, reserved)
 }
 
--- a/pkg/forward/quarantine.go
+++ b/pkg/forward/quarantine.go
@@ -32,10 +32,10 @@
 // reportCrash reports a crash of a back end without a gate during the call. Restarts within one
 // incarnation count once.
 func (c *call) reportCrash(ctx context.Context, ticket *balancer.Ticket, cause error) {
-	if c.handler.config.OnEnded == nil || !exchange.BackendEnded(ctx, ticket.Address, cause, crashCheckTimeout) {
+	if c.handler.config.OnCrash == nil || !exchange.BackendEnded(ctx, ticket.Address, cause, crashCheckTimeout) {
 		return
 	}
-	c.handler.config.OnEnded(quarantine.End{
+	c.handler.config.OnCrash(quarantine.End{
 		Request: quarantine.FingerprintOf(c.request, c.body.data), Instance: fmt.Sprintf("%s/%d", ticket.ID, ticket.Incarnation), Way: c.callerAndService(),
 		Watched: c.watched,
 	})
@@ -43,11 +43,11 @@
 
 // reportSurvival reports that a back end without a gate responded to a suspect request.
 func (c *call) reportSurvival(status int) {
-	if c.handler.config.OnAnswered == nil || !exchange.Outlived(status) {
+	if c.handler.config.OnSuspectResponse == nil || !exchange.Outlived(status) {
 		return
 	}
 	if match := c.matchQuarantine(c.body.data); match.Standing != quarantine.Unsuspected && !match.Answered {
-		c.handler.config.OnAnswered(quarantine.Answer{Request: match.Request, Way: c.callerAndService()})
+		c.handler.config.OnSuspectResponse(quarantine.Answer{Request: match.Request, Way: c.callerAndService()})
 	}
 }
 
--- a/pkg/forward/quarantine_test.go
+++ b/pkg/forward/quarantine_test.go
@@ -114,13 +114,13 @@
 		started := time.Now()
 		handler := New(Config{
 			Node: "n", Service: "shop", Now: func() time.Duration { return time.Since(started) }, Quarantine: filter,
-			Retry: retry.Config{Max: 10}, Declines: retry.Config{Max: 10},
-			OnEnded: func(crash quarantine.End) {
+			Retry: retry.Config{Max: 10}, DeclinedRetries: retry.Config{Max: 10},
+			OnCrash: func(crash quarantine.End) {
 				mu.Lock()
 				defer mu.Unlock()
 				crashes = append(crashes, crash)
 			},
-			OnAnswered: func(answer quarantine.Answer) { responses = append(responses, answer) },
+			OnSuspectResponse: func(answer quarantine.Answer) { responses = append(responses, answer) },
 		})
 		handler.SetTable(newTable(addresses...))
 		server := httptest.NewServer(handler)
--- a/pkg/forward/region_delays.go
+++ b/pkg/forward/region_delays.go
@@ -41,12 +41,12 @@
 		d.delays[region] = delay
 	}
 	delay.Note(now, took)
-	crowding := delay.Crowding(now)
-	changed := crowding != d.reported[region]
-	d.reported[region] = crowding
+	congestion := delay.Crowding(now)
+	changed := congestion != d.reported[region]
+	d.reported[region] = congestion
 	d.mu.Unlock()
 	if changed && d.onChange != nil {
-		d.onChange(region, crowding, delay.Rise(now))
+		d.onChange(region, congestion, delay.Rise(now))
 	}
 }
 
--- a/pkg/forward/region_delays_test.go
+++ b/pkg/forward/region_delays_test.go
@@ -109,7 +109,7 @@
 	east, _ := fakeGate(t, rejectWith(exchange.ReasonFull, NotRun))
 	var reported []link.Crowding
 	n, _ := regionNode(t, regionTable(1, east, west), func(cfg *Config) {
-		cfg.OnCrowding = func(_ string, crowding link.Crowding, _ time.Duration) { reported = append(reported, crowding) }
+		cfg.OnCongestion = func(_ string, congestion link.Crowding, _ time.Duration) { reported = append(reported, congestion) }
 	})
 	is.Equal(n.call(t, http.MethodGet, "/r/1", "").StatusCode, http.StatusOK)
 	mu.Lock()
--- a/pkg/forward/rollout.go
+++ b/pkg/forward/rollout.go
@@ -26,7 +26,7 @@
 	// current is nil if no rollout applies to calls.
 	current atomic.Pointer[activeRollout]
 	mu      sync.Mutex
-	caution rollout.Caution
+	guard   rollout.Caution
 }
 
 type activeRollout struct {
@@ -70,17 +70,17 @@
 	return &current.Rollout
 }
 
-// careful reports whether this node's calls failed often enough to avoid the new version.
-func (t *rolloutTracker) careful(r rollout.Rollout) bool {
+// avoidsNewVersion reports whether this node's calls failed often enough to avoid the new version.
+func (t *rolloutTracker) avoidsNewVersion(r rollout.Rollout) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.caution.Careful(r)
+	return t.guard.Careful(r)
 }
 
 func (t *rolloutTracker) record(r rollout.Rollout, failed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.caution.Note(r, failed)
+	t.guard.Note(r, failed)
 }
 
 // rolloutDraw is a call's random draw in a rollout. Retries use the same draw.
@@ -107,8 +107,8 @@
 	if r == nil {
 		return balancer.VersionChoice{}
 	}
-	careful := !g.handler.confirmedRecently(now) || g.service.tracker.careful(*r)
-	return balancer.VersionChoice{Rollout: r, Side: rollout.Choose(*r, g.draw.value, g.draw.retrying, careful)}
+	avoidNew := !g.handler.confirmedRecently(now) || g.service.tracker.avoidsNewVersion(*r)
+	return balancer.VersionChoice{Rollout: r, Side: rollout.Choose(*r, g.draw.value, g.draw.retrying, avoidNew)}
 }
 
 // setRolloutHeaders sets the headers by which a gate counts the call in a rollout.
--- a/pkg/proxy/gate.go
+++ b/pkg/proxy/gate.go
@@ -29,7 +29,7 @@
 		Link:         s.link, ResponsePacer: s.responsePacer, ResponseBuffer: s.responseBuffer,
 		Quarantine: &s.quarantine, OnCrash: s.onCrash, OnSuspectResponse: s.onWatchedResponse,
 		OnClosing: s.onClosingChange,
-		OnSender:  func(service string, sender exchange.Sender) { s.forwarder.HearOf(service, sender) },
+		OnSender:  func(service string, sender exchange.Sender) { s.forwarder.UpdateReport(service, sender) },
 		OnCold:    s.observer.logColdChange, OnColdProbeFailed: s.observer.logColdUnknown,
 		ConfirmedAt: func() (time.Duration, bool) { return s.controlClient.ConfirmedAt() },
 	})
--- a/pkg/proxy/proxy.go
+++ b/pkg/proxy/proxy.go
@@ -139,7 +139,7 @@
 		return nil, err
 	}
 	s.forwarder = forward.New(s.forwardConfig())
-	s.callerServer = s.newServer(http.HandlerFunc(s.serveCall), s.forwarder.MayRunBeside)
+	s.callerServer = s.newServer(http.HandlerFunc(s.serveCall), s.forwarder.MayRunConcurrently)
 	return s, s.newClient()
 }
 
@@ -216,21 +216,21 @@
 func (s *Server) forwardConfig() forward.Config {
 	config := forward.Config{
 		Node: s.settings.Name, Zone: s.settings.Zone, Region: s.settings.Zones[s.settings.Zone], Now: s.clock.Elapsed,
-		Retry: retry.DefaultConfig(), Declines: retry.DeclineConfig(), OnCall: s.observer.call,
+		Retry: retry.DefaultConfig(), DeclinedRetries: retry.DeclineConfig(), OnCall: s.observer.call,
 		StopsAt: func() time.Duration { return time.Duration(s.stopsAt.Load()) },
 		Link:    s.link,
-		Headers: s.settings.Headers, Service: s.settings.Service, OnAttempt: s.observer.attempt, OnCrowding: s.observer.crowding,
-		Quarantine: &s.quarantine, OnEnded: s.onCrash, OnAnswered: s.onWatchedResponse,
+		Headers: s.settings.Headers, Service: s.settings.Service, OnAttempt: s.observer.attempt, OnCongestion: s.observer.crowding,
+		Quarantine: &s.quarantine, OnCrash: s.onCrash, OnSuspectResponse: s.onWatchedResponse,
 		Quotas: s.quotas, KeysStaleLimit: time.Duration(s.settings.KeysStaleLimit),
 		ConfirmedAt: func() (time.Duration, bool) { return s.controlClient.ConfirmedAt() }, StaleLimit: time.Duration(s.settings.StaleLimit),
 	}
 	if s.settings.LinkMegabits > 0 {
 		config.Pacer = exchange.NewPacer(s.settings.LinkMegabits*megabit, exchange.RequestShare, s.clock.Now)
 	}
-	config.Answers, config.AnswerBuffer = s.responsePacer, s.responseBuffer
+	config.ResponsePacer, config.ResponseBuffer = s.responsePacer, s.responseBuffer
 	if s.gate != nil {
 		config.BackendHost, config.RetryShare = s.backendHost(), s.gate.RetryShare
-		config.GateAddress, config.Gate, config.Sender = s.settings.GateAdvertise, s.gate.Do, s.gate.SenderReport
+		config.GateAddress, config.Gate, config.SenderReport = s.settings.GateAdvertise, s.gate.Do, s.gate.SenderReport
 		config.Retry = retry.Config{Ratio: s.settings.Retries.Ratio, Max: maxSavedRetries}
 	}
 	return config
--- a/pkg/sim/node.go
+++ b/pkg/sim/node.go
@@ -164,7 +164,7 @@
 	once          bool
 	deadline      time.Duration
 	attempts      int
-	record        forward.Record
+	record        forward.OutcomeRecord
 	triedBackends []string
 	ended         bool
 	// nodeGeneration is the process run of the node that owns the call.
@@ -236,8 +236,8 @@
 	}
 	c.releaseTicket(poolOutcome)
 	c.record.Note(outcome)
-	permitted := forward.MayRetry(forward.Situation{
-		Outcome: outcome, Safe: !c.once, BodyWhole: true, Attempts: c.attempts, OutOfTime: n.clock() >= c.deadline,
+	permitted := forward.MayRetry(forward.RetryState{
+		Outcome: outcome, Repeatable: !c.once, BodyReplayable: true, Attempts: c.attempts, Expired: n.clock() >= c.deadline,
 	})
 	if !permitted || !n.budget.Withdraw(n.clock()) {
 		c.finish(string(c.record.Refusal()), false)
