--- a/pkg/balancer/cold_test.go
+++ b/pkg/balancer/cold_test.go
@@ -69,7 +69,7 @@
 	is := is.New(t)
 	p := gatedPool(t, []string{"z", "z"}, nil)
 	p.config.OwnGate = p.endpoints[1].target.Gate
-	request := GateRequest{OwnWork: 100 * time.Millisecond, Patience: 200 * time.Millisecond}
+	request := GateRequest{OwnGateMaxService: 100 * time.Millisecond, Patience: 200 * time.Millisecond}
 	setCold(p, 0, "b")
 	is.Equal(countAcquired(t, p, 0, 1, request)["b"], 1)
 	is.Equal(countAcquired(t, p, 0, 1, request)["a"], 1)
--- a/pkg/balancer/distance.go
+++ b/pkg/balancer/distance.go
@@ -113,8 +113,8 @@
 	return rank
 }
 
-// FarRegion returns the back end's region if it differs from the node's, otherwise the empty string.
-func (t *Ticket) FarRegion() string {
+// OtherRegion returns the back end's region if it differs from the node's, otherwise the empty string.
+func (t *Ticket) OtherRegion() string {
 	if !t.endpoint.inOtherRegion {
 		return ""
 	}
--- a/pkg/balancer/distance_test.go
+++ b/pkg/balancer/distance_test.go
@@ -91,14 +91,14 @@
 	is.True(unavailableCount <= ownZoneSubset) // the other slots hold available back ends
 }
 
-// Regions in Spared get only calls that the own region may not serve, even if the own region is saturated.
-func TestSparedRegionsGetOnlyCallsRestrictedToThem(t *testing.T) {
+// Regions in AvoidedRegions get only calls that the own region may not serve, even if the own region is saturated.
+func TestAvoidedRegionsGetOnlyCallsRestrictedToThem(t *testing.T) {
 	is := is.New(t)
 	p := eastPool(multiRegionService(3))
-	spared := GateRequest{Spared: []string{"west"}}
-	is.Equal(countAcquiredByRegion(p, 40, spared)["east"], 40)
-	spared.Regions = []string{"west"}
-	is.Equal(countAcquiredByRegion(p, 5, spared)["west"], 5)
+	avoiding := GateRequest{AvoidedRegions: []string{"west"}}
+	is.Equal(countAcquiredByRegion(p, 40, avoiding)["east"], 40)
+	avoiding.Regions = []string{"west"}
+	is.Equal(countAcquiredByRegion(p, 5, avoiding)["west"], 5)
 }
 
 // Region restrictions also apply to back ends without gates.
@@ -109,7 +109,7 @@
 	for range 8 {
 		ticket, err := p.Acquire(nil, now, 0, nil, []string{"west"})
 		is.NoErr(err)
-		is.Equal(ticket.FarRegion(), "west")
+		is.Equal(ticket.OtherRegion(), "west")
 	}
 	_, err := p.Acquire(nil, now, 0, nil, []string{"north"})
 	is.Equal(err, ErrNoEndpoint)
--- a/pkg/balancer/failure_rate.go
+++ b/pkg/balancer/failure_rate.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// MeanFailing returns the mean failure rate (calls failed or rejected, 0 to 1) over all back ends that are
+// MeanFailureRate returns the mean failure rate (calls failed or rejected, 0 to 1) over all back ends that are
 // not leaving and whose gates have reported; zero if none has.
-func (p *Pool) MeanFailing(now time.Duration) float64 {
+func (p *Pool) MeanFailureRate(now time.Duration) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	sum, count := 0.0, 0
--- a/pkg/balancer/failure_rate_test.go
+++ b/pkg/balancer/failure_rate_test.go
@@ -54,7 +54,7 @@
 	is := is.New(t)
 	p := gatedPool(t, []string{"z", "other"}, map[string]float64{"a": 0.4})
 	is.Equal(countAcquired(t, p, 0, 2, GateRequest{LocalWait: 50 * time.Millisecond})["b"], 2)
-	is.Equal(countAcquired(t, p, 0, 1, GateRequest{LocalWait: 50 * time.Millisecond, AskLocal: true})["b"], 1)
+	is.Equal(countAcquired(t, p, 0, 1, GateRequest{LocalWait: 50 * time.Millisecond, LocalGateDecides: true})["b"], 1)
 	p = gatedPool(t, []string{"z", "other"}, map[string]float64{"a": 0.004})
 	is.Equal(countAcquired(t, p, 0, 2, GateRequest{LocalWait: 50 * time.Millisecond})["a"], 2) // a low failure rate keeps the preference
 }
--- a/pkg/balancer/gated.go
+++ b/pkg/balancer/gated.go
@@ -49,34 +49,34 @@
 
 // GateRequest holds the properties of a call that the choice of a gate depends on.
 type GateRequest struct {
-	// LeftOut lists the IDs of back ends that must not be chosen.
-	LeftOut []string
+	// Excluded lists the IDs of back ends that must not be chosen.
+	Excluded []string
 	// Regions lists the regions that may serve the call; empty means all.
 	Regions []string
-	// Spared lists other regions to avoid, because the link to them is congested, if the own region has a
+	// AvoidedRegions lists other regions to avoid, because the link to them is congested, if the own region has a
 	// back end that may serve the call.
-	Spared []string
+	AvoidedRegions []string
 	// LocalWait is how long the call may wait at a gate of the node's own zone before another zone is
 	// considered.
 	LocalWait time.Duration
-	// AskLocal skips the node's estimate of the wait and leaves the decision to the gates of the own zone,
+	// LocalGateDecides skips the node's estimate of the wait and leaves the decision to the gates of the own zone,
 	// which know the priorities in their queues. It is for calls that are expensive in other zones.
-	AskLocal bool
+	LocalGateDecides bool
 	// Patience is how long the call may wait if no gate admits it immediately.
 	Patience time.Duration
-	// LargeAnswer is set if the response is expected to be large; the score then includes the wait for the
+	// LargeResponse is set if the response is expected to be large; the score then includes the wait for the
 	// gate's link.
-	LargeAnswer bool
+	LargeResponse bool
 	// Repeatable is set if a failed call may run again at another back end.
 	Repeatable bool
-	// OwnWork is the service time up to which the back end beside the node is preferred to all others;
+	// OwnGateMaxService is the service time up to which the back end beside the node is preferred to all others;
 	// zero means never. The call takes no further hop there.
-	OwnWork time.Duration
-	// OwnWait is how long the call may wait at the gate beside the node; zero means not at all.
-	OwnWait time.Duration
-	// FreeWork, if not zero, is the service time up to which back ends known to have a free slot are
+	OwnGateMaxService time.Duration
+	// OwnGateWait is how long the call may wait at the gate beside the node; zero means not at all.
+	OwnGateWait time.Duration
+	// FreeSlotMaxService, if not zero, is the service time up to which back ends known to have a free slot are
 	// preferred, regardless of zone and of faster back ends.
-	FreeWork time.Duration
+	FreeSlotMaxService time.Duration
 	// Version selects the side of a rollout that the call goes to.
 	Version VersionChoice
 }
@@ -95,9 +95,9 @@
 func (p *Pool) AcquireGate(now time.Duration, r GateRequest) (*Ticket, time.Duration, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	candidates := p.candidates(now, r.LeftOut, r.Regions)
-	if len(r.Spared) > 0 && p.servedInOwnRegion(r.Regions) {
-		candidates = slices.DeleteFunc(candidates, func(e *endpoint) bool { return slices.Contains(r.Spared, e.target.Region) })
+	candidates := p.candidates(now, r.Excluded, r.Regions)
+	if len(r.AvoidedRegions) > 0 && p.servedInOwnRegion(r.Regions) {
+		candidates = slices.DeleteFunc(candidates, func(e *endpoint) bool { return slices.Contains(r.AvoidedRegions, e.target.Region) })
 	}
 	if len(candidates) == 0 {
 		return nil, 0, p.noEndpointError()
@@ -107,11 +107,11 @@
 		return nil, 0, err
 	}
 	candidates = r.Version.prefer(candidates)
-	if own := p.ownGate(candidates, now, r.OwnWork); own != nil {
-		return p.issueTicket(own), r.OwnWait, nil
+	if own := p.ownGate(candidates, now, r.OwnGateMaxService); own != nil {
+		return p.issueTicket(own), r.OwnGateWait, nil
 	}
-	params := scoreParams{now: now, fastest: minServiceTime(candidates), failureCost: r.failureCost(), largeAnswer: r.LargeAnswer}
-	if free := p.bestFreeGate(candidates, params, r.FreeWork); free != nil {
+	params := scoreParams{now: now, fastest: minServiceTime(candidates), failureCost: r.failureCost(), largeResponse: r.LargeResponse}
+	if free := p.bestFreeGate(candidates, params, r.FreeSlotMaxService); free != nil {
 		return p.issueTicket(free), r.Patience, nil
 	}
 	local := slices.DeleteFunc(slices.Clone(candidates), func(e *endpoint) bool { return !r.prefersLocal(e, params) })
@@ -168,7 +168,7 @@
 	}
 	free := slices.DeleteFunc(slices.Clone(candidates), func(e *endpoint) bool {
 		recent := e.gate.reported && params.now-e.gate.at <= reportMaxAge
-		if params.largeAnswer && e.linkWait(params.now) > e.gate.report.Service {
+		if params.largeResponse && e.linkWait(params.now) > e.gate.report.Service {
 			return true
 		}
 		return !recent || e.gateLoad(params.now) >= e.gateCapacity() || e.gate.report.Service > maxService || e.coldRemaining(params.now) > 0
@@ -208,8 +208,8 @@
 	return fastest
 }
 
-// MeanService returns the mean of the service times that the gates report, zero if none is known.
-func (p *Pool) MeanService() time.Duration {
+// MeanServiceTime returns the mean of the service times that the gates report, zero if none is known.
+func (p *Pool) MeanServiceTime() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var sum time.Duration
@@ -249,13 +249,13 @@
 type scoreParams struct {
 	now time.Duration
 	// fastest is the shortest service time of the candidates.
-	fastest     time.Duration
-	failureCost float64
-	largeAnswer bool
+	fastest       time.Duration
+	failureCost   float64
+	largeResponse bool
 }
 
 // prefersLocal reports whether a back end is in the node's own zone and its failure rate and expected wait are
-// low enough to prefer it to other zones. AskLocal skips the check of the wait.
+// low enough to prefer it to other zones. LocalGateDecides skips the check of the wait.
 func (r GateRequest) prefersLocal(e *endpoint, params scoreParams) bool {
 	if e.inOtherZone {
 		return false
@@ -264,7 +264,7 @@
 	if penalty > otherZonePenalty*float64(params.fastest) && penalty > float64(r.LocalWait) {
 		return false
 	}
-	return r.AskLocal || e.expectedWait(params) <= r.LocalWait
+	return r.LocalGateDecides || e.expectedWait(params) <= r.LocalWait
 }
 
 // failurePenalty returns the score penalty for the back end's failure rate, in nanoseconds.
@@ -301,8 +301,8 @@
 	e.gate = gateState{report: report, at: now, reported: true}
 }
 
-// ReportGate stores the report that came with a gate's response, including the wait for its link.
-func (t *Ticket) ReportGate(now time.Duration, report exchange.Report) {
+// UpdateGateReport stores the report that came with a gate's response, including the wait for its link.
+func (t *Ticket) UpdateGateReport(now time.Duration, report exchange.Report) {
 	t.pool.mu.Lock()
 	defer t.pool.mu.Unlock()
 	t.endpoint.recordReport(now, report)
@@ -311,7 +311,7 @@
 
 // UpdateReport stores a back end's report that arrived without a response. It ignores back ends outside the pool:
 // they may belong to another node's subset.
-func (p *Pool) HearOf(now time.Duration, sender exchange.Sender) {
+func (p *Pool) UpdateReport(now time.Duration, sender exchange.Sender) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, e := range p.endpoints {
@@ -321,22 +321,22 @@
 	}
 }
 
-// Avoid ejects the back end for at least pause. The ejection is ignored while too few usable back ends remain.
-func (t *Ticket) Avoid(now, pause time.Duration) {
+// Eject ejects the back end for at least pause. The ejection is ignored while too few usable back ends remain.
+func (t *Ticket) Eject(now, pause time.Duration) {
 	t.pool.mu.Lock()
 	defer t.pool.mu.Unlock()
 	t.endpoint.ejectedUntil = max(t.endpoint.ejectedUntil, now+pause)
 }
 
-// Leave marks this incarnation of the back end as leaving.
-func (t *Ticket) Leave() {
+// MarkLeaving marks this incarnation of the back end as leaving.
+func (t *Ticket) MarkLeaving() {
 	t.pool.mu.Lock()
 	defer t.pool.mu.Unlock()
 	t.pool.markLeaving(t.endpoint)
 }
 
-// LeftOut returns list, to which the ID of the ticket's back end is appended unless it is there.
-func (t *Ticket) LeftOut(list []string) []string {
+// AppendExcluded returns list, to which the ID of the ticket's back end is appended unless it is there.
+func (t *Ticket) AppendExcluded(list []string) []string {
 	if slices.Contains(list, t.ID) {
 		return list
 	}
--- a/pkg/balancer/gated_test.go
+++ b/pkg/balancer/gated_test.go
@@ -21,13 +21,13 @@
 		p.endpoints[1].gate.report.Running = 4 // the reported load must not matter
 		return p
 	}
-	is.Equal(countAcquired(t, pool(), 0, 5, GateRequest{OwnWork: maxService})["b"], 5)
+	is.Equal(countAcquired(t, pool(), 0, 5, GateRequest{OwnGateMaxService: maxService})["b"], 5)
 	is.Equal(countAcquired(t, pool(), 0, 1, GateRequest{})["a"], 1)
-	is.Equal(countAcquired(t, pool(), 0, 1, GateRequest{OwnWork: maxService, LeftOut: []string{"b"}})["a"], 1)
-	is.Equal(countAcquired(t, pool(), 0, 1, GateRequest{OwnWork: 9 * time.Millisecond})["a"], 1) // too slow for the call
+	is.Equal(countAcquired(t, pool(), 0, 1, GateRequest{OwnGateMaxService: maxService, Excluded: []string{"b"}})["a"], 1)
+	is.Equal(countAcquired(t, pool(), 0, 1, GateRequest{OwnGateMaxService: 9 * time.Millisecond})["a"], 1) // too slow for the call
 	failing := pool()
 	failing.endpoints[1].gate.report.Failing = 0.2
-	is.Equal(countAcquired(t, failing, 0, 1, GateRequest{OwnWork: maxService})["a"], 1)
+	is.Equal(countAcquired(t, failing, 0, 1, GateRequest{OwnGateMaxService: maxService})["a"], 1)
 }
 
 // The subset of a large service must always include the back end beside the node.
@@ -43,7 +43,7 @@
 		p := NewPool(Config{Node: "n", Zone: "z", OwnGate: service.Endpoints[i].Gate, Random: func(int) int { return 0 }})
 		p.Update(0, service)
 		is.Equal(len(p.endpoints), subsetSize)
-		is.Equal(countAcquired(t, p, 0, 1, GateRequest{OwnWork: time.Second})[service.Endpoints[i].ID], 1)
+		is.Equal(countAcquired(t, p, 0, 1, GateRequest{OwnGateMaxService: time.Second})[service.Endpoints[i].ID], 1)
 	}
 }
 
@@ -55,8 +55,8 @@
 	is.True(countAcquired(t, p, 0, 9, GateRequest{LocalWait: time.Second})["c"] >= 2)
 }
 
-// With FreeWork, a back end with a known free slot is preferred to a faster one, unless its service time
-// exceeds FreeWork or its report is old.
+// With FreeSlotMaxService, a back end with a known free slot is preferred to a faster one, unless its service time
+// exceeds FreeSlotMaxService or its report is old.
 func TestFreeSlotIsPreferredToAFasterBackEnd(t *testing.T) {
 	is := is.New(t)
 	const now = time.Second
@@ -65,14 +65,14 @@
 		for _, e := range p.endpoints {
 			e.gate.report.Running, e.gate.at = e.gate.report.Capacity, now
 		}
-		p.HearOf(now, exchange.Sender{ID: "c", Report: exchange.Report{Running: 1, Capacity: 4, Service: 300 * time.Millisecond}})
-		p.HearOf(now, exchange.Sender{ID: "unknown"})
+		p.UpdateReport(now, exchange.Sender{ID: "c", Report: exchange.Report{Running: 1, Capacity: 4, Service: 300 * time.Millisecond}})
+		p.UpdateReport(now, exchange.Sender{ID: "unknown"})
 		return p
 	}
-	request := GateRequest{LocalWait: time.Second, FreeWork: 400 * time.Millisecond}
+	request := GateRequest{LocalWait: time.Second, FreeSlotMaxService: 400 * time.Millisecond}
 	is.Equal(countAcquired(t, pool(), now, 1, request)["c"], 1)
-	request.FreeWork = 200 * time.Millisecond
+	request.FreeSlotMaxService = 200 * time.Millisecond
 	is.Equal(countAcquired(t, pool(), now, 1, request)["c"], 0)
-	request.FreeWork = 400 * time.Millisecond
+	request.FreeSlotMaxService = 400 * time.Millisecond
 	is.Equal(countAcquired(t, pool(), now+2*reportMaxAge, 1, request)["c"], 0) // the report is too old
 }
--- a/pkg/balancer/link_wait_test.go
+++ b/pkg/balancer/link_wait_test.go
@@ -25,7 +25,7 @@
 		if i == 0 {
 			report.LinkWait = wait
 		}
-		ticket.ReportGate(0, report)
+		ticket.UpdateGateReport(0, report)
 	}
 	return p
 }
@@ -37,7 +37,7 @@
 	p := poolWithBusyLink(time.Second, 2)
 	first := p.endpoints[0].target.ID
 	choose := func(now time.Duration, large bool) string {
-		ticket, _, err := p.AcquireGate(now, GateRequest{Patience: time.Second, LargeAnswer: large, LocalWait: time.Second, Repeatable: true})
+		ticket, _, err := p.AcquireGate(now, GateRequest{Patience: time.Second, LargeResponse: large, LocalWait: time.Second, Repeatable: true})
 		is.NoErr(err)
 		ticket.Done(now, Canceled)
 		return ticket.ID
@@ -45,6 +45,6 @@
 	is.Equal(choose(0, false), first)
 	is.True(choose(0, true) != first)
 	is.Equal(choose(950*time.Millisecond, true), first) // the link is nearly free
-	p.HearOf(0, exchange.Sender{ID: first, Report: exchange.Report{Capacity: 8, Service: 100 * time.Millisecond}})
+	p.UpdateReport(0, exchange.Sender{ID: first, Report: exchange.Report{Capacity: 8, Service: 100 * time.Millisecond}})
 	is.True(choose(0, true) != first) // a report without a response leaves the link's wait unchanged
 }
--- a/pkg/balancer/version_test.go
+++ b/pkg/balancer/version_test.go
@@ -19,8 +19,8 @@
 	pool.Update(0, routing.Service{Name: "s", Endpoints: []routing.Endpoint{
 		{ID: "new", Zone: "z", Gate: "gate-new", Version: "v2"}, {ID: "old", Zone: "z", Gate: "gate-old", Version: "v1"},
 	}})
-	choose := func(side rollout.Side, leftOut ...string) string {
-		ticket, _, err := pool.AcquireGate(0, GateRequest{OwnWork: 1, LeftOut: leftOut, Version: VersionChoice{Rollout: r, Side: side}})
+	choose := func(side rollout.Side, excluded ...string) string {
+		ticket, _, err := pool.AcquireGate(0, GateRequest{OwnGateMaxService: 1, Excluded: excluded, Version: VersionChoice{Rollout: r, Side: side}})
 		is.NoErr(err)
 		defer ticket.Done(0, Canceled)
 		return ticket.ID
--- a/pkg/exchange/body.go
+++ b/pkg/exchange/body.go
@@ -11,7 +11,7 @@
 // retried, and a buffered response is known to be complete before its first byte is forwarded.
 const MaxBuffered = 1 << 20
 
-// LargeAnswer is the size in bytes from which a response is scheduled on a link and paced. On a
+// LargeResponse is the size in bytes from which a response is scheduled on a link and paced. On a
 // link of 10 Mbit/s such a response takes 13 ms, as long as about ten small messages.
 const LargeAnswer = 16 << 10
 
--- a/pkg/forward/gate_choice.go
+++ b/pkg/forward/gate_choice.go
@@ -72,11 +72,11 @@
 
 // gateRequest returns the part of the selection request that is independent of the link load.
 func (g *gatedCall) gateRequest(now time.Duration) balancer.GateRequest {
-	request := balancer.GateRequest{LeftOut: g.excluded, Regions: g.route.Regions, Patience: g.maxWait(now), Repeatable: g.repeatable, LargeAnswer: g.largeResponse()}
-	request.Spared = g.handler.regionDelays.congested(now, g.largeResponse() || g.body.Size() > largeBodyBytes)
+	request := balancer.GateRequest{Excluded: g.excluded, Regions: g.route.Regions, Patience: g.maxWait(now), Repeatable: g.repeatable, LargeResponse: g.largeResponse()}
+	request.AvoidedRegions = g.handler.regionDelays.congested(now, g.largeResponse() || g.body.Size() > largeBodyBytes)
 	request.Version = g.versionChoice(now)
 	if g.countedAttempts == 0 {
-		request.OwnWork = g.ownGateMaxService(now)
+		request.OwnGateMaxService = g.ownGateMaxService(now)
 	}
 	return request
 }
@@ -85,17 +85,17 @@
 func (g *gatedCall) chooseOnFreeLink(now time.Duration) (*balancer.Ticket, time.Duration, error) {
 	request := g.gateRequest(now)
 	if len(g.full) < maxFreeSlotAttempts && g.countedAttempts < maxGateAttempts {
-		request.LeftOut = slices.Concat(g.excluded, g.full)
+		request.Excluded = slices.Concat(g.excluded, g.full)
 		request.LocalWait = g.localWait(now)
-		request.AskLocal = g.body.Size() > largeBodyBytes
+		request.LocalGateDecides = g.body.Size() > largeBodyBytes
 		if g.largeResponse() {
-			request.OwnWait = min(request.Patience, max(0, g.targetLeft(now)/ownGateWaitDivisor))
+			request.OwnGateWait = min(request.Patience, max(0, g.targetLeft(now)/ownGateWaitDivisor))
 		}
 		ticket, wait, err := g.service.pool.AcquireGate(now, request)
 		if err == nil || len(g.full) == 0 {
 			return ticket, wait, err
 		}
-		request.LeftOut, request.LocalWait, request.AskLocal = g.excluded, 0, false
+		request.Excluded, request.LocalWait, request.LocalGateDecides = g.excluded, 0, false
 	}
 	ticket, _, err := g.service.pool.AcquireGate(now, request)
 	g.finalWait = true
@@ -109,14 +109,14 @@
 		return nil, 0, errGatesFull
 	}
 	request := g.gateRequest(now)
-	request.LeftOut = slices.Concat(g.excluded, g.full)
-	request.OwnWait = g.ownGateWait(now, request.Patience)
-	request.AskLocal = g.body.Size() > largeBodyBytes
+	request.Excluded = slices.Concat(g.excluded, g.full)
+	request.OwnGateWait = g.ownGateWait(now, request.Patience)
+	request.LocalGateDecides = g.body.Size() > largeBodyBytes
 	if len(g.full) == 0 {
 		request.LocalWait = g.localWait(now)
 	}
 	if g.throttle.NotGranted(now) > scarceRatio {
-		request.FreeWork = time.Duration(float64(g.targetLeft(now)) / freeSlotServiceTimes)
+		request.FreeSlotMaxService = time.Duration(float64(g.targetLeft(now)) / freeSlotServiceTimes)
 	}
 	ticket, wait, err := g.service.pool.AcquireGate(now, request)
 	if err != nil && len(g.full) > 0 {
@@ -176,7 +176,7 @@
 func (g *gatedCall) maxWait(now time.Duration) time.Duration {
 	left := g.deadline - now
 	allowed := left / 2
-	if target := g.route.TargetLatency; target > 0 && g.serviceTime*shortWorkDivisor > g.service.pool.MeanService() {
+	if target := g.route.TargetLatency; target > 0 && g.serviceTime*shortWorkDivisor > g.service.pool.MeanServiceTime() {
 		reserved := time.Duration(reservedServiceTimes * float64(g.serviceTime))
 		allowed = min(allowed, max(g.targetLeft(now)-reserved, target/minWaitDivisor))
 	}
--- a/pkg/forward/gate_exchange.go
+++ b/pkg/forward/gate_exchange.go
@@ -95,7 +95,7 @@
 func (g *gatedCall) readGateResponse(ticket *balancer.Ticket, response *http.Response) (*http.Response, *gateFailure) {
 	report, reported := exchange.ReadReport(response.Header)
 	if reported {
-		ticket.ReportGate(g.now(), report)
+		ticket.UpdateGateReport(g.now(), report)
 	}
 	if outcome := response.Header.Get(exchange.HeaderOutcome); outcome != "" {
 		response.Body.Close()
--- a/pkg/forward/gated.go
+++ b/pkg/forward/gated.go
@@ -176,17 +176,17 @@
 		if failure.rejected {
 			pause = downPause
 		}
-		ticket.Avoid(now, pause)
+		ticket.Eject(now, pause)
 	case exchange.ReasonStopping:
-		ticket.Avoid(now, stoppingPause)
+		ticket.Eject(now, stoppingPause)
 	case exchange.ReasonLeft:
-		ticket.Leave()
+		ticket.MarkLeaving()
 	case exchange.ReasonAbsent:
-		ticket.Avoid(now, absentPause)
+		ticket.Eject(now, absentPause)
 	case exchange.ReasonVersion:
-		ticket.Avoid(now, versionPause)
+		ticket.Eject(now, versionPause)
 	case exchange.ReasonEvacuated:
-		ticket.Avoid(now, evacuatedPause)
+		ticket.Eject(now, evacuatedPause)
 		// Not counted as an attempt: the node is out of date, and all gates of the zone may respond alike.
 		g.countedAttempts--
 	case exchange.ReasonRegion:
@@ -199,7 +199,7 @@
 		}
 	}
 	if !failure.reason.Busy() {
-		g.excluded = ticket.LeftOut(g.excluded)
+		g.excluded = ticket.AppendExcluded(g.excluded)
 	}
 	g.draw.retrying = true
 	ticket.Done(now, outcome)
@@ -215,7 +215,7 @@
 	}
 	// The first attempt at the own gate allowed a short wait only, so the call may still wait there.
 	if g.countedAttempts > 1 || !g.isOwnGate(ticket) {
-		g.full = ticket.LeftOut(g.full)
+		g.full = ticket.AppendExcluded(g.full)
 	}
 }
 
@@ -299,7 +299,7 @@
 	g.record.Note(Unknown)
 	g.heldResponse = response
 	g.draw.retrying = true
-	g.excluded = ticket.LeftOut(g.excluded)
+	g.excluded = ticket.AppendExcluded(g.excluded)
 	ticket.Done(g.now(), balancer.Answered)
 	return true
 }
--- a/pkg/forward/handler.go
+++ b/pkg/forward/handler.go
@@ -542,6 +542,6 @@
 // UpdateReport records the load report of a back end that came with a call from the node beside it.
 func (h *Handler) UpdateReport(service string, sender exchange.Sender) {
 	if svc := h.snapshot.Load().service(service); svc != nil {
-		svc.pool.HearOf(h.config.Now(), sender)
+		svc.pool.UpdateReport(h.config.Now(), sender)
 	}
 }
--- a/pkg/forward/region_delays.go
+++ b/pkg/forward/region_delays.go
@@ -71,7 +71,7 @@
 // requestHeldTime asks a gate of another region to report how long it held the call. Calls with a large
 // body are left out, because their own transfer dominates the delay.
 func (g *gatedCall) requestHeldTime(ticket *balancer.Ticket, request *http.Request) {
-	if ticket.FarRegion() != "" && g.body.Size() <= largeBodyBytes {
+	if ticket.OtherRegion() != "" && g.body.Size() <= largeBodyBytes {
 		request.Header.Set(exchange.HeaderTellHeld, "1")
 	}
 }
@@ -79,7 +79,7 @@
 // recordRegionDelay records the network delay of a call to another region.
 func (g *gatedCall) recordRegionDelay(ticket *balancer.Ticket, sent time.Duration, header http.Header) {
 	held, reported := exchange.ReadMicros(header, exchange.HeaderHeld)
-	if region := ticket.FarRegion(); reported && region != "" {
+	if region := ticket.OtherRegion(); reported && region != "" {
 		now := g.now()
 		g.handler.regionDelays.record(region, now, max(0, now-sent-held))
 	}
--- a/pkg/forward/retry_after.go
+++ b/pkg/forward/retry_after.go
@@ -21,7 +21,7 @@
 // slot it returns minGateRetry. Otherwise it is a fraction of the time left, or the link wait that a gate
 // reported.
 func (g *gatedCall) retryAfter(now time.Duration) time.Duration {
-	if g.lastReason == exchange.ReasonDeclined && g.service.pool.MeanFailing(now) <= maxRandomFailureRate {
+	if g.lastReason == exchange.ReasonDeclined && g.service.pool.MeanFailureRate(now) <= maxRandomFailureRate {
 		return minGateRetry
 	}
 	left := g.deadline - now
