--- a/pkg/forward/handler.go
+++ b/pkg/forward/handler.go
@@ -93,7 +93,7 @@
 	RetryShare  func() float64
 	// OnCongestion, if set, is called when the congestion of the link to another region changes; rise is
 	// the increase of its delay.
-	OnCongestion func(region string, congestion link.Crowding, rise time.Duration)
+	OnCongestion func(region string, congestion link.Congestion, rise time.Duration)
 	// Quotas, if set, enforce the tenants' rate limits.
 	Quotas Quotas
 	// KeysStaleLimit is the maximum age of the configuration for calls that need a key, zero for no limit.
--- a/pkg/forward/pacing.go
+++ b/pkg/forward/pacing.go
@@ -14,7 +14,7 @@
 		return
 	}
 	response.Body = g.handler.config.ResponsePacer.Answer(response.Body, int(response.ContentLength), g.responseTransferTime())
-	response.Body = g.handler.config.Link.Answer(response.Body, reserved)
+	response.Body = g.handler.config.Link.WrapResponse(response.Body, reserved)
 }
 
 // responseTransferTime returns how long the transfer of a large response to the caller may take.
--- a/pkg/forward/region_delays.go
+++ b/pkg/forward/region_delays.go
@@ -21,15 +21,15 @@
 // know their capacity, so each one judges by the delay of its own calls.
 type regionDelays struct {
 	// onChange, if set, is called when the congestion of a link changes.
-	onChange func(region string, now link.Crowding, rise time.Duration)
+	onChange func(region string, now link.Congestion, rise time.Duration)
 
 	mu       sync.Mutex
 	delays   map[string]*link.Delay
-	reported map[string]link.Crowding
+	reported map[string]link.Congestion
 }
 
-func newRegionDelays(onChange func(string, link.Crowding, time.Duration)) *regionDelays {
-	return &regionDelays{onChange: onChange, delays: map[string]*link.Delay{}, reported: map[string]link.Crowding{}}
+func newRegionDelays(onChange func(string, link.Congestion, time.Duration)) *regionDelays {
+	return &regionDelays{onChange: onChange, delays: map[string]*link.Delay{}, reported: map[string]link.Congestion{}}
 }
 
 // record adds the network round-trip time of a call to a region.
@@ -40,13 +40,13 @@
 		delay = &link.Delay{}
 		d.delays[region] = delay
 	}
-	delay.Note(now, took)
-	congestion := delay.Crowding(now)
+	delay.Observe(now, took)
+	congestion := delay.Congestion(now)
 	changed := congestion != d.reported[region]
 	d.reported[region] = congestion
 	d.mu.Unlock()
 	if changed && d.onChange != nil {
-		d.onChange(region, congestion, delay.Rise(now))
+		d.onChange(region, congestion, delay.QueueingDelay(now))
 	}
 }
 
@@ -57,11 +57,11 @@
 	defer d.mu.Unlock()
 	least := link.Full
 	if large {
-		least = link.Crowded
+		least = link.Congested
 	}
 	var congested []string
 	for region, delay := range d.delays {
-		if delay.Crowding(now) >= least {
+		if delay.Congestion(now) >= least {
 			congested = append(congested, region)
 		}
 	}
--- a/pkg/forward/region_delays_test.go
+++ b/pkg/forward/region_delays_test.go
@@ -107,9 +107,9 @@
 		respondOK(w, r)
 	})
 	east, _ := fakeGate(t, rejectWith(exchange.ReasonFull, NotRun))
-	var reported []link.Crowding
+	var reported []link.Congestion
 	n, _ := regionNode(t, regionTable(1, east, west), func(cfg *Config) {
-		cfg.OnCongestion = func(_ string, congestion link.Crowding, _ time.Duration) { reported = append(reported, congestion) }
+		cfg.OnCongestion = func(_ string, congestion link.Congestion, _ time.Duration) { reported = append(reported, congestion) }
 	})
 	is.Equal(n.call(t, http.MethodGet, "/r/1", "").StatusCode, http.StatusOK)
 	mu.Lock()
--- a/pkg/gate/gate.go
+++ b/pkg/gate/gate.go
@@ -143,8 +143,8 @@
 func New(config Config) *Gate {
 	dialer := net.Dialer{Timeout: dialTimeout, Control: wire.SetUserTimeout}
 	capacity := config.Link.Capacity()
-	return &Gate{config: config, inbound: newLinkScheduler(capacity, inboundShare, inboundUsable, config.Link.UnaskedRate),
-		outbound: newLinkScheduler(capacity, outboundShare, outboundUsable, config.Link.UnbookedRate), transport: &http.Transport{
+	return &Gate{config: config, inbound: newLinkScheduler(capacity, inboundShare, inboundUsable, config.Link.UnscheduledRate),
+		outbound: newLinkScheduler(capacity, outboundShare, outboundUsable, config.Link.UnreservedRate), transport: &http.Transport{
 			DialContext: exchange.CountWrites(dialer.DialContext), DisableCompression: true,
 			MaxIdleConnsPerHost: maxIdleConnections, IdleConnTimeout: idleTimeout,
 			ReadBufferSize: connBufferBytes, WriteBufferSize: connBufferBytes,
@@ -209,7 +209,7 @@
 		call.Reason, call.Err = exchange.ReasonBroken, err
 		return g.reject(&call, http.StatusBadGateway, exchange.NotRun)
 	}
-	g.config.Link.BodyReceived(r.ContentLength)
+	g.config.Link.ScheduledBodyReceived(r.ContentLength)
 	// The body is already here: waiting for a slot is cheaper than sending it to another back end.
 	req.wait = max(req.wait, (req.deadline-g.config.Now())/receivedWaitDivisor)
 	req.earlyWait = max(req.earlyWait, req.wait)
--- a/pkg/gate/outbound.go
+++ b/pkg/gate/outbound.go
@@ -120,7 +120,7 @@
 		return
 	}
 	paced := g.config.ResponsePacer.Answer(response.Body, int(response.ContentLength), g.transferTime(r, held))
-	response.Body = g.config.Link.Answer(paced, true)
+	response.Body = g.config.Link.WrapResponse(paced, true)
 }
 
 // transferTime returns how long the transfer of a large response to another node may take.
--- a/pkg/gate/outbound_test.go
+++ b/pkg/gate/outbound_test.go
@@ -151,10 +151,10 @@
 	is.Equal(get(t, g, "other", "Want-Bytes", "10").StatusCode, http.StatusOK) // the slot is free
 	response.Body.Close()
 	time.Sleep(150 * time.Millisecond)
-	sent := g.config.Link.AnswersSent()
+	sent := g.config.Link.LargeResponseBytesSent()
 	is.True(sent >= 50_000 && sent < 700_000)
 	time.Sleep(150 * time.Millisecond)
-	is.Equal(g.config.Link.AnswersSent(), sent)
+	is.Equal(g.config.Link.LargeResponseBytesSent(), sent)
 }
 
 // A response beyond the buffer limit must be streamed completely and hold its slot until it has
--- a/pkg/link/delay.go
+++ b/pkg/link/delay.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// crowdedQueueDelay is the queueing delay above which a path is Crowded: the target delay of a congestion
+	// congestedQueueDelay is the queueing delay above which a path is Congested: the target delay of a congestion
 	// controller that yields to other traffic (LEDBAT, RFC 6817).
-	crowdedQueueDelay = 100 * time.Millisecond
+	congestedQueueDelay = 100 * time.Millisecond
 	// fullQueueDelay is the queueing delay above which a path is Full.
-	fullQueueDelay = 3 * crowdedQueueDelay
+	fullQueueDelay = 3 * congestedQueueDelay
 	// delayHalfLife is the half-life of a measurement in the smoothed delay. delayMaxAge is the age above
 	// which the smoothed delay is ignored, so that the path is used again.
 	delayHalfLife = 300 * time.Millisecond
@@ -22,20 +22,20 @@
 	baseWindow = time.Minute
 )
 
-// Crowding is the congestion level of a path, derived from its queueing delay.
-type Crowding uint8
+// Congestion is the congestion level of a path, derived from its queueing delay.
+type Congestion uint8
 
 const (
 	// Clear means that the path may carry any message.
-	Clear Crowding = iota
-	// Crowded means that large messages should avoid the path.
-	Crowded
+	Clear Congestion = iota
+	// Congested means that large messages should avoid the path.
+	Congested
 	// Full means that every message that can take another path should do so.
 	Full
 )
 
 // String returns the level in lower case.
-func (c Crowding) String() string { return [...]string{"clear", "crowded", "full"}[c] }
+func (c Congestion) String() string { return [...]string{"clear", "crowded", "full"}[c] }
 
 // Delay measures the queueing delay of a shared path of unknown capacity: the rise of the smoothed round-trip
 // time above its recent minimum. The zero value has no measurement. It is safe for concurrent use.
@@ -48,8 +48,8 @@
 	updatedAt          time.Duration
 }
 
-// Note adds a measured round-trip time, without the processing time at the other end.
-func (d *Delay) Note(now, roundTrip time.Duration) {
+// Observe adds a measured round-trip time, without the processing time at the other end.
+func (d *Delay) Observe(now, roundTrip time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if now >= d.windowEnd {
@@ -67,8 +67,8 @@
 	d.updatedAt = now
 }
 
-// Rise returns the queueing delay, zero without a recent measurement.
-func (d *Delay) Rise(now time.Duration) time.Duration {
+// QueueingDelay returns the queueing delay, zero without a recent measurement.
+func (d *Delay) QueueingDelay(now time.Duration) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.smoothed == 0 || now-d.updatedAt > delayMaxAge {
@@ -81,13 +81,13 @@
 	return max(0, d.smoothed-minDelay)
 }
 
-// Crowding returns the path's congestion level.
-func (d *Delay) Crowding(now time.Duration) Crowding {
-	switch rise := d.Rise(now); {
+// Congestion returns the path's congestion level.
+func (d *Delay) Congestion(now time.Duration) Congestion {
+	switch rise := d.QueueingDelay(now); {
 	case rise > fullQueueDelay:
 		return Full
-	case rise > crowdedQueueDelay:
-		return Crowded
+	case rise > congestedQueueDelay:
+		return Congested
 	}
 	return Clear
 }
--- a/pkg/link/delay_test.go
+++ b/pkg/link/delay_test.go
@@ -8,42 +8,42 @@
 )
 
 // The level must follow a sustained rise of the delay, and fall once the rise ends or is old.
-func TestCrowdingFollowsTheRiseOfTheDelay(t *testing.T) {
+func TestCongestionFollowsQueueingDelay(t *testing.T) {
 	is := is.New(t)
 	var d Delay
-	is.Equal(d.Crowding(0), Clear) // no measurement
+	is.Equal(d.Congestion(0), Clear) // no measurement
 	now := time.Second
 	note := func(roundTrip time.Duration, times int) {
 		for range times {
 			now += 100 * time.Millisecond
-			d.Note(now, roundTrip)
+			d.Observe(now, roundTrip)
 		}
 	}
 	note(62*time.Millisecond, 10)
-	is.Equal(d.Crowding(now), Clear)
+	is.Equal(d.Congestion(now), Clear)
 	note(250*time.Millisecond, 1)
-	is.Equal(d.Crowding(now), Clear) // a single measurement has little weight
+	is.Equal(d.Congestion(now), Clear) // a single measurement has little weight
 	note(250*time.Millisecond, 20)
-	is.Equal(d.Crowding(now), Crowded)
+	is.Equal(d.Congestion(now), Congested)
 	note(600*time.Millisecond, 20)
-	is.Equal(d.Crowding(now), Full)
-	is.Equal(d.Crowding(now+delayMaxAge+1), Clear) // the measurement is too old
+	is.Equal(d.Congestion(now), Full)
+	is.Equal(d.Congestion(now+delayMaxAge+1), Clear) // the measurement is too old
 	note(62*time.Millisecond, 30)
-	is.Equal(d.Crowding(now), Clear)
+	is.Equal(d.Congestion(now), Clear)
 }
 
-// A permanently longer path must not count as crowded forever.
+// A permanently longer path must not count as congested forever.
 func TestBaseDelayFollowsAPermanentRise(t *testing.T) {
 	is := is.New(t)
 	var d Delay
 	for now := time.Duration(0); now < 10*time.Second; now += 100 * time.Millisecond {
-		d.Note(now, 10*time.Millisecond)
+		d.Observe(now, 10*time.Millisecond)
 	}
 	for now := 10 * time.Second; now < 3*baseWindow; now += 100 * time.Millisecond {
-		d.Note(now, 300*time.Millisecond)
+		d.Observe(now, 300*time.Millisecond)
 		if now == 20*time.Second {
-			is.Equal(d.Crowding(now), Crowded)
+			is.Equal(d.Congestion(now), Congested)
 		}
 	}
-	is.Equal(d.Crowding(3*baseWindow), Clear)
+	is.Equal(d.Congestion(3*baseWindow), Clear)
 }
--- a/pkg/link/meter.go
+++ b/pkg/link/meter.go
@@ -72,17 +72,17 @@
 // Sent returns the bytes sent to a kind of peer.
 func (m *Meter) Sent(p Peer) int64 { return m.sent[p].Load() }
 
-// BodyReceived records that size of the received bytes were a large request body whose transfer the node's gate
+// ScheduledBodyReceived records that size of the received bytes were a large request body whose transfer the node's gate
 // scheduled.
-func (m *Meter) BodyReceived(size int64) {
+func (m *Meter) ScheduledBodyReceived(size int64) {
 	if m != nil {
 		m.scheduledBodies.Add(size)
 	}
 }
 
-// UnaskedRate returns the receive rate in bytes per second without large request bodies whose transfer the
+// UnscheduledRate returns the receive rate in bytes per second without large request bodies whose transfer the
 // node's gate scheduled. The current time now is on the process's monotonic clock.
-func (m *Meter) UnaskedRate(now time.Duration) float64 {
+func (m *Meter) UnscheduledRate(now time.Duration) float64 {
 	if m == nil {
 		return 0
 	}
@@ -91,9 +91,9 @@
 	return m.unscheduled.sample(now, sum(&m.received)-m.scheduledBodies.Load())
 }
 
-// Answer wraps the body of a large response to count its bytes as they are sent; reserved is set if the node's
+// WrapResponse wraps the body of a large response to count its bytes as they are sent; reserved is set if the node's
 // gate has reserved the link for it.
-func (m *Meter) Answer(body io.ReadCloser, reserved bool) io.ReadCloser {
+func (m *Meter) WrapResponse(body io.ReadCloser, reserved bool) io.ReadCloser {
 	if m == nil {
 		return body
 	}
@@ -122,15 +122,15 @@
 	return n, err
 }
 
-// AnswersSent returns the number of bytes of large responses sent.
-func (m *Meter) AnswersSent() int64 { return m.largeResponses.Load() }
+// LargeResponseBytesSent returns the number of bytes of large responses sent.
+func (m *Meter) LargeResponseBytesSent() int64 { return m.largeResponses.Load() }
 
-// BodiesReceived returns the bytes received of large request bodies whose transfer the node's gate scheduled.
-func (m *Meter) BodiesReceived() int64 { return m.scheduledBodies.Load() }
+// ScheduledBodyBytesReceived returns the bytes received of large request bodies whose transfer the node's gate scheduled.
+func (m *Meter) ScheduledBodyBytesReceived() int64 { return m.scheduledBodies.Load() }
 
-// UnbookedRate returns the send rate in bytes per second without large responses for which the gate reserved
+// UnreservedRate returns the send rate in bytes per second without large responses for which the gate reserved
 // the link. The current time now is on the process's monotonic clock.
-func (m *Meter) UnbookedRate(now time.Duration) float64 {
+func (m *Meter) UnreservedRate(now time.Duration) float64 {
 	if m == nil {
 		return 0
 	}
@@ -202,11 +202,11 @@
 	return &countedListener{Listener: l, meter: m, peer: p}
 }
 
-// Dial opens a connection; it has the type of http.Transport.DialContext.
-type Dial func(ctx context.Context, network, address string) (net.Conn, error)
+// DialFunc opens a connection; it has the type of http.Transport.DialContext.
+type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
 // Dialer wraps dial to count the bytes of the connections that it opens.
-func (m *Meter) Dialer(p Peer, dial Dial) Dial {
+func (m *Meter) Dialer(p Peer, dial DialFunc) DialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
 		if err != nil {
--- a/pkg/link/meter_test.go
+++ b/pkg/link/meter_test.go
@@ -37,24 +37,24 @@
 	is.True(err != nil)
 }
 
-// UnaskedRate must not include large bodies that the node's gate scheduled.
-func TestUnaskedRateExcludesScheduledBodies(t *testing.T) {
+// UnscheduledRate must not include large bodies that the node's gate scheduled.
+func TestUnscheduledRateExcludesScheduledBodies(t *testing.T) {
 	is := is.New(t)
 	var m Meter
 	for i := range 50 { // ten seconds of 100,000 bytes a second, half of them scheduled bodies
 		m.received[Nodes].Add(20_000)
-		m.BodyReceived(10_000)
-		m.UnaskedRate(time.Duration(i+1) * 200 * time.Millisecond)
+		m.ScheduledBodyReceived(10_000)
+		m.UnscheduledRate(time.Duration(i+1) * 200 * time.Millisecond)
 	}
-	rate := m.UnaskedRate(10 * time.Second)
+	rate := m.UnscheduledRate(10 * time.Second)
 	is.True(rate > 49_900 && rate < 50_100)
 	m.received[Callers].Add(1 << 20)
-	is.Equal(m.UnaskedRate(10*time.Second+rateInterval/2), rate) // before the next sample
-	is.True(m.UnaskedRate(11*time.Second) > rate)
-	is.True(m.UnaskedRate(30*time.Second) < 100) // the burst has decayed
+	is.Equal(m.UnscheduledRate(10*time.Second+rateInterval/2), rate) // before the next sample
+	is.True(m.UnscheduledRate(11*time.Second) > rate)
+	is.True(m.UnscheduledRate(30*time.Second) < 100) // the burst has decayed
 	var nilMeter *Meter
-	nilMeter.BodyReceived(1)
-	is.Equal(nilMeter.UnaskedRate(time.Second), 0.0)
+	nilMeter.ScheduledBodyReceived(1)
+	is.Equal(nilMeter.UnscheduledRate(time.Second), 0.0)
 }
 
 // Load must be that of the busier direction, not of both together.
@@ -72,12 +72,12 @@
 	is.Equal(nilMeter.Load(time.Second), 0.0)
 }
 
-// UnpacedRate must exclude all large responses, UnbookedRate only those with a reservation.
+// UnpacedRate must exclude all large responses, UnreservedRate only those with a reservation.
 func TestSendRatesExcludeLargeResponses(t *testing.T) {
 	is := is.New(t)
 	var m Meter
 	send := func(reserved bool) {
-		body := m.Answer(io.NopCloser(io.LimitReader(zeros{}, 5_000)), reserved)
+		body := m.WrapResponse(io.NopCloser(io.LimitReader(zeros{}, 5_000)), reserved)
 		_, err := io.Copy(io.Discard, body)
 		is.NoErr(err)
 		is.NoErr(body.Close())
@@ -87,16 +87,16 @@
 		send(true)
 		send(false)
 		now := time.Duration(i+1) * 200 * time.Millisecond
-		m.UnbookedRate(now)
+		m.UnreservedRate(now)
 		m.UnpacedRate(now)
 	}
-	unreserved, unpaced := m.UnbookedRate(20*time.Second), m.UnpacedRate(20*time.Second)
+	unreserved, unpaced := m.UnreservedRate(20*time.Second), m.UnpacedRate(20*time.Second)
 	is.True(unreserved > 74_900 && unreserved < 75_100)
 	is.True(unpaced > 49_900 && unpaced < 50_100)
-	is.Equal(m.AnswersSent(), int64(1_000_000))
+	is.Equal(m.LargeResponseBytesSent(), int64(1_000_000))
 	var nilMeter *Meter
-	is.Equal(nilMeter.UnbookedRate(0)+nilMeter.UnpacedRate(0), 0.0)
-	is.NoErr(nilMeter.Answer(io.NopCloser(zeros{}), true).Close())
+	is.Equal(nilMeter.UnreservedRate(0)+nilMeter.UnpacedRate(0), 0.0)
+	is.NoErr(nilMeter.WrapResponse(io.NopCloser(zeros{}), true).Close())
 }
 
 // zeros is an endless body of zero bytes.
--- a/pkg/proxy/observer.go
+++ b/pkg/proxy/observer.go
@@ -143,7 +143,7 @@
 
 // registerLargeResponses registers how much of the machine's link and of memory large bodies and responses use.
 func (o *observer) registerLargeResponses(registry prometheus.Registerer, m *link.Meter, buffer *exchange.AnswerBuffer) {
-	for direction, read := range map[string]func() int64{"received": m.BodiesReceived, "sent": m.AnswersSent} {
+	for direction, read := range map[string]func() int64{"received": m.ScheduledBodyBytesReceived, "sent": m.LargeResponseBytesSent} {
 		registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 			Name: "bramblelift_link_large_bytes_total", Help: "Bytes of large request bodies received and of large answers sent.",
 			ConstLabels: prometheus.Labels{"direction": direction},
@@ -188,7 +188,7 @@
 }
 
 // crowding records that the link to another region became congested or clear.
-func (o *observer) crowding(region string, crowding link.Crowding, rise time.Duration) {
+func (o *observer) crowding(region string, crowding link.Congestion, rise time.Duration) {
 	o.regionDelayRise.WithLabelValues(region).Set(rise.Seconds())
 	o.logger.Log("event", "region_crowding", "region", region, "crowding", crowding, "delay_rise", rise.Round(time.Millisecond))
 }
