--- a/pkg/balancer/gated.go
+++ b/pkg/balancer/gated.go
@@ -277,7 +277,7 @@
 	if e.gate.report.Failing == 0 {
 		return 0
 	}
-	return e.gate.report.Failing * clock.Kept(now-e.gate.at, failureHalfLife)
+	return e.gate.report.Failing * clock.DecayFactor(now-e.gate.at, failureHalfLife)
 }
 
 // gateScore estimates the time a call takes at the gate, in nanoseconds: wait, service time, and penalties for
--- a/pkg/clock/decay.go
+++ b/pkg/clock/decay.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Kept returns the weight in (0, 1] that an observation still has after the elapsed time, if
+// DecayFactor returns the weight in (0, 1] that an observation still has after the elapsed time, if
 // weights halve every halfLife.
-func Kept(elapsed, halfLife time.Duration) float64 {
+func DecayFactor(elapsed, halfLife time.Duration) float64 {
 	return math.Exp2(-float64(elapsed) / float64(halfLife))
 }
--- a/pkg/gate/health.go
+++ b/pkg/gate/health.go
@@ -40,7 +40,7 @@
 }
 
 func (h *health) decay(now time.Duration) {
-	factor := clock.Kept(now-h.at, healthHalfLife)
+	factor := clock.DecayFactor(now-h.at, healthHalfLife)
 	h.failed *= factor
 	h.total *= factor
 	h.at = now
--- a/pkg/link/delay.go
+++ b/pkg/link/delay.go
@@ -62,7 +62,7 @@
 	if d.smoothed == 0 || now-d.updatedAt > delayMaxAge {
 		d.smoothed = roundTrip
 	} else {
-		d.smoothed += time.Duration((1 - clock.Kept(now-d.updatedAt, delayHalfLife)) * float64(roundTrip-d.smoothed))
+		d.smoothed += time.Duration((1 - clock.DecayFactor(now-d.updatedAt, delayHalfLife)) * float64(roundTrip-d.smoothed))
 	}
 	d.updatedAt = now
 }
--- a/pkg/link/meter.go
+++ b/pkg/link/meter.go
@@ -184,7 +184,7 @@
 		return r.perSecond
 	}
 	measured := max(0, float64(count-r.count)/elapsed.Seconds())
-	r.perSecond += (1 - clock.Kept(elapsed, rateHalfLife)) * (measured - r.perSecond)
+	r.perSecond += (1 - clock.DecayFactor(elapsed, rateHalfLife)) * (measured - r.perSecond)
 	r.sampledAt, r.count = now, count
 	return r.perSecond
 }
--- a/pkg/quota/meter.go
+++ b/pkg/quota/meter.go
@@ -89,11 +89,11 @@
 func (m *rateMeter) rate(now time.Duration) float64 {
 	m.decay(now)
 	// Corrects for the short history of a new node.
-	counted := 1 - clock.Kept(max(now, minRateInterval), rateHalfLife)
+	counted := 1 - clock.DecayFactor(max(now, minRateInterval), rateHalfLife)
 	return m.count * math.Ln2 / rateHalfLife.Seconds() / counted
 }
 
 func (m *rateMeter) decay(now time.Duration) {
-	m.count *= clock.Kept(max(0, now-m.at), rateHalfLife)
+	m.count *= clock.DecayFactor(max(0, now-m.at), rateHalfLife)
 	m.at = max(m.at, now)
 }
--- a/pkg/retry/throttle.go
+++ b/pkg/retry/throttle.go
@@ -71,7 +71,7 @@
 }
 
 func (t *Throttle) decay(now time.Duration) {
-	factor := clock.Kept(max(0, now-t.updatedAt), halfLife)
+	factor := clock.DecayFactor(max(0, now-t.updatedAt), halfLife)
 	t.requested *= factor
 	t.granted *= factor
 	t.updatedAt = now
