--- a/pkg/control/rollout.go
+++ b/pkg/control/rollout.go
@@ -190,7 +190,7 @@
 	}
 	active.reports[report.Node] = nodeReport{RolloutReport: report, at: now}
 	if report.Gate != nil {
-		active.judge.Take(now, *report.Gate)
+		active.judge.AddReport(now, *report.Gate)
 	}
 }
 
@@ -216,7 +216,7 @@
 	var view rollout.View
 	gates := map[string]nodeReport{}
 	for _, node := range a.reports {
-		view.Holders = append(view.Holders, rollout.Holder{Name: node.Node, Confirmed: node.confirms(current), Silent: now.Sub(node.at)})
+		view.NodeStates = append(view.NodeStates, rollout.NodeState{Name: node.Node, Confirmed: node.confirms(current), SinceLastContact: now.Sub(node.at)})
 		if node.Gate != nil {
 			gates[node.Gate.Instance] = node
 		}
@@ -225,9 +225,9 @@
 		if endpoint.State != distribution.Live {
 			continue
 		}
-		state := rollout.GateState{Instance: endpoint.ID, Version: endpoint.Version, Silent: now.Sub(leadingSince)}
+		state := rollout.GateState{Instance: endpoint.ID, Version: endpoint.Version, SinceLastContact: now.Sub(leadingSince)}
 		if node, found := gates[endpoint.ID]; found {
-			state.Life, state.Confirmed, state.AtWork, state.Silent = node.Gate.Life, node.confirms(current), node.AtWork, now.Sub(node.at)
+			state.Life, state.Confirmed, state.AtWork, state.SinceLastContact = node.Gate.Life, node.confirms(current), node.AtWork, now.Sub(node.at)
 		}
 		view.Gates = append(view.Gates, state)
 	}
--- a/pkg/control/rollout_operator.go
+++ b/pkg/control/rollout_operator.go
@@ -98,7 +98,7 @@
 	}
 	for _, current := range m.server.hub.State().Orders.AllRollouts() {
 		gauge(rolloutPhase, 1, current.Service, current.Version, current.Phase.String())
-		gauge(rolloutShare, float64(current.Share)/rollout.Thousandths, current.Service, current.Version)
+		gauge(rolloutShare, float64(current.Share)/rollout.FullShare, current.Service, current.Version)
 		gauge(rolloutGranted, float64(current.Exposed()), current.Service, current.Version)
 		if observation := m.server.observationsOf(current); observation != nil {
 			for side, counts := range map[string]operator.RolloutSide{"new": observation.New, "old": observation.Old} {
--- a/pkg/control/rollout_order.go
+++ b/pkg/control/rollout_order.go
@@ -18,12 +18,12 @@
 
 // rolloutErrorCodes maps reasons for rejecting an order to error codes.
 var rolloutErrorCodes = map[error]catalog.Code{
-	rollout.ErrInvalid:        catalog.CodeInvalidRequest,
-	rollout.ErrUnknownService: catalog.CodeUnknownService,
-	rollout.ErrNothingToDo:    catalog.CodeNothingToDo,
-	rollout.ErrConflict:       catalog.CodeRolloutConflict,
-	rollout.ErrNotRunning:     catalog.CodeNoRollout,
-	errEarlierRelease:         catalog.CodeUnavailable,
+	rollout.ErrInvalid:         catalog.CodeInvalidRequest,
+	rollout.ErrUnknownService:  catalog.CodeUnknownService,
+	rollout.ErrAlreadyComplete: catalog.CodeNothingToDo,
+	rollout.ErrConflict:        catalog.CodeRolloutConflict,
+	rollout.ErrNotRunning:      catalog.CodeNoRollout,
+	errEarlierRelease:          catalog.CodeUnavailable,
 }
 
 // rolloutOperationError returns the operation error for a rejected order.
@@ -78,7 +78,7 @@
 			rejection = rollout.Check(order, latest, serviceExists(state, order.Service), liveVersions(state.Endpoints[order.Service]))
 		}
 	})
-	if err == nil && errors.Is(rejection, rollout.ErrUnderWay) {
+	if err == nil && errors.Is(rejection, rollout.ErrAlreadyRunning) {
 		return current, true, nil
 	}
 	if err == nil && rejection != nil {
--- a/pkg/control/rollout_view.go
+++ b/pkg/control/rollout_view.go
@@ -12,8 +12,8 @@
 
 // summarize aggregates the nodes' reports of a rollout.
 func summarize(current rollout.Rollout, view rollout.View, reports map[string]nodeReport) operator.RolloutSeen {
-	observation := operator.RolloutSeen{Nodes: len(view.Holders), Gates: len(view.Gates)}
-	for _, holder := range view.Holders {
+	observation := operator.RolloutSeen{Nodes: len(view.NodeStates), Gates: len(view.Gates)}
+	for _, holder := range view.NodeStates {
 		if holder.Confirmed {
 			observation.NodesConfirmed++
 		}
--- a/pkg/ctl/rollout.go
+++ b/pkg/ctl/rollout.go
@@ -80,7 +80,7 @@
 }
 
 func percent(share int) string {
-	return fmt.Sprintf("%.1f%%", 100*float64(share)/rollout.Thousandths)
+	return fmt.Sprintf("%.1f%%", 100*float64(share)/rollout.FullShare)
 }
 
 type rolloutStatusCommand struct{}
--- a/pkg/forward/rollout.go
+++ b/pkg/forward/rollout.go
@@ -26,7 +26,7 @@
 	// current is nil if no rollout applies to calls.
 	current atomic.Pointer[activeRollout]
 	mu      sync.Mutex
-	guard   rollout.Caution
+	guard   rollout.FailureGuard
 }
 
 type activeRollout struct {
@@ -74,13 +74,13 @@
 func (t *rolloutTracker) avoidsNewVersion(r rollout.Rollout) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.guard.Careful(r)
+	return t.guard.AvoidsNewVersion(r)
 }
 
 func (t *rolloutTracker) record(r rollout.Rollout, failed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.guard.Note(r, failed)
+	t.guard.Record(r, failed)
 }
 
 // rolloutDraw is a call's random draw in a rollout. Retries use the same draw.
@@ -96,7 +96,7 @@
 func (g *gatedCall) drawRollout(now time.Duration) {
 	g.draw.rollout = g.service.tracker.active(now)
 	if g.draw.rollout != nil {
-		g.draw.value = rand.IntN(rollout.Thousandths)
+		g.draw.value = rand.IntN(rollout.FullShare)
 	}
 }
 
--- a/pkg/forward/rollout_test.go
+++ b/pkg/forward/rollout_test.go
@@ -134,10 +134,10 @@
 	is.Equal(n.new.header.Get(exchange.HeaderRollout), "v2")
 	is.Equal(n.old.header.Get(exchange.HeaderRollout), "")
 	is.Equal(n.old.header.Get(exchange.HeaderRoute), "safe")
-	n.setRollout(rolloutAt(rollout.Closing, rollout.Thousandths))
+	n.setRollout(rolloutAt(rollout.Closing, rollout.FullShare))
 	old, _, _ = n.callGates(t, 20)
 	is.Equal(old, int64(0))
-	n.setRollout(rolloutAt(rollout.Completed, rollout.Thousandths)) // the old back ends are still listed
+	n.setRollout(rolloutAt(rollout.Completed, rollout.FullShare)) // the old back ends are still listed
 	old, _, _ = n.callGates(t, 20)
 	is.Equal(old, int64(0))
 	for _, phase := range []rollout.Phase{rollout.Reverting, rollout.RolledBack} {
@@ -152,7 +152,7 @@
 func TestRejectedCallsGoToTheOtherVersion(t *testing.T) {
 	is := is.New(t)
 	n := startVersionNode(t)
-	n.setRollout(rolloutAt(rollout.Running, rollout.Thousandths))
+	n.setRollout(rolloutAt(rollout.Running, rollout.FullShare))
 	n.new.rejects = exchange.ReasonVersion
 	_, _, succeeded := n.callGates(t, 20)
 	is.Equal(succeeded, 20)
@@ -196,11 +196,11 @@
 func TestCompletedRolloutsExpire(t *testing.T) {
 	is := is.New(t)
 	var tracker rolloutTracker
-	tracker.update(0, rolloutAt(rollout.Completed, rollout.Thousandths))
+	tracker.update(0, rolloutAt(rollout.Completed, rollout.FullShare))
 	is.Equal(tracker.active(0), nil) // it was completed before the node received it
-	tracker.update(0, rolloutAt(rollout.Closing, rollout.Thousandths))
-	tracker.update(time.Second, rolloutAt(rollout.Completed, rollout.Thousandths))
+	tracker.update(0, rolloutAt(rollout.Closing, rollout.FullShare))
+	tracker.update(time.Second, rolloutAt(rollout.Completed, rollout.FullShare))
 	is.True(tracker.active(time.Second) != nil)
-	tracker.update(time.Second+completedRetention, rolloutAt(rollout.Completed, rollout.Thousandths))
+	tracker.update(time.Second+completedRetention, rolloutAt(rollout.Completed, rollout.FullShare))
 	is.Equal(tracker.active(2*time.Second+completedRetention), nil)
 }
--- a/pkg/gate/version.go
+++ b/pkg/gate/version.go
@@ -74,7 +74,7 @@
 	if !s.known || s.unaffected {
 		return ""
 	}
-	state := rollout.Gate{Version: g.backend.Version, Life: s.processRun, Admitted: s.tally.Admitted(), Confirmed: g.confirmationAge(now), Cold: g.cold.remaining(now) > 0}
+	state := rollout.Gate{Version: g.backend.Version, Life: s.processRun, Admitted: s.tally.Admitted(), SinceConfirmed: g.confirmationAge(now), Cold: g.cold.remaining(now) > 0}
 	if state.Admits(s.current) {
 		return ""
 	}
@@ -129,14 +129,14 @@
 	if e.tally == nil {
 		return
 	}
-	outcome := rollout.GivenUp
+	outcome := rollout.Cancelled
 	switch {
 	case result.failed:
 		outcome = rollout.Failed
 	case result.serviceTime > 0:
 		outcome = rollout.Answered
 	}
-	e.tally.End(e.route, outcome, result.serviceTime, e.cold || cold)
+	e.tally.RecordOutcome(e.route, outcome, result.serviceTime, e.cold || cold)
 }
 
 // versionHint is the rollout state that a call's headers pass on from the sending node.
--- a/pkg/rollout/budget.go
+++ b/pkg/rollout/budget.go
@@ -23,7 +23,7 @@
 // budget returns how many calls the gates of the new version may have been granted by this time.
 func (j *Judge) budget(now time.Time, held Rollout) uint64 {
 	calls := float64(j.reachedCalls())
-	if held.Share == Thousandths {
+	if held.Share == FullShare {
 		calls += j.expectedCalls(now, held)
 	}
 	slack := j.policy.ExposureSlack - min(j.policy.ExposureSlack, reservedSlack)
@@ -87,7 +87,7 @@
 	if len(runs) == 0 {
 		return next, next.Spent != held.Spent
 	}
-	expected := j.callRate(now, held) * float64(held.Share) / Thousandths * grantDuration.Seconds() / float64(len(runs))
+	expected := j.callRate(now, held) * float64(held.Share) / FullShare * grantDuration.Seconds() / float64(len(runs))
 	short, wanted := false, make([]uint64, len(runs))
 	var sum uint64
 	for i, run := range runs {
--- a/pkg/rollout/gate.go
+++ b/pkg/rollout/gate.go
@@ -35,9 +35,9 @@
 	Life    uint64
 	// Admitted is how many calls the gate has admitted since it received the order.
 	Admitted uint64
-	// Confirmed is the time since the control plane last confirmed the node's copy of the rollout.
-	Confirmed time.Duration
-	Cold      bool
+	// SinceConfirmed is the time since the control plane last confirmed the node's copy of the rollout.
+	SinceConfirmed time.Duration
+	Cold           bool
 }
 
 // Admits reports whether the gate admits one more call during a rollout. A gate of the new version needs a
@@ -45,7 +45,7 @@
 // calls while its back end is cold. While Closing, a gate of another version admits calls only if its
 // lease has expired, because gates of the new version without a lease reject everything.
 func (g Gate) Admits(r Rollout) bool {
-	valid := g.Confirmed <= LeaseTime
+	valid := g.SinceConfirmed <= LeaseTime
 	if g.Version == r.Version {
 		canary := r.Phase == Running && r.Share == canaryShare
 		ended := r.Phase == Completed
--- a/pkg/rollout/gate_test.go
+++ b/pkg/rollout/gate_test.go
@@ -15,9 +15,9 @@
 	target.Admitted = 5
 	is.True(!target.Admits(r)) // the grant is used up
 	target.Admitted = 4
-	target.Confirmed = LeaseTime + time.Millisecond
+	target.SinceConfirmed = LeaseTime + time.Millisecond
 	is.True(!target.Admits(r)) // the lease has expired
-	target.Confirmed = 0
+	target.SinceConfirmed = 0
 	target.Cold = true
 	is.True(!target.Admits(r)) // times of a cold canary are not comparable
 	r.Share = 250
@@ -25,7 +25,7 @@
 	r.Share = 40
 	is.True(!Gate{Version: "v2", Life: 8}.Admits(r))
 	is.True(Gate{Version: "v1", Life: 9}.Admits(r))
-	is.True(Gate{Version: "v1", Life: 9, Confirmed: time.Hour}.Admits(r)) // the old version needs no lease
+	is.True(Gate{Version: "v1", Life: 9, SinceConfirmed: time.Hour}.Admits(r)) // the old version needs no lease
 }
 
 func TestGatesFollowFinalPhases(t *testing.T) {
@@ -43,8 +43,8 @@
 		r := Rollout{Version: "v2", Phase: c.phase, Grants: []Grant{{Life: 7, Upto: 5}}}
 		is.Equal(Gate{Version: "v2", Life: 7}.Admits(r), c.newAdmits)
 		is.Equal(Gate{Version: "v1"}.Admits(r), c.oldAdmits)
-		is.Equal(Gate{Version: "v2", Life: 7, Confirmed: time.Minute}.Admits(r), c.newDisconnected)
-		is.Equal(Gate{Version: "v1", Confirmed: time.Minute}.Admits(r), c.oldDisconnected)
+		is.Equal(Gate{Version: "v2", Life: 7, SinceConfirmed: time.Minute}.Admits(r), c.newDisconnected)
+		is.Equal(Gate{Version: "v1", SinceConfirmed: time.Minute}.Admits(r), c.oldDisconnected)
 	}
 }
 
@@ -55,7 +55,7 @@
 	is.Equal(Choose(r, 39, false, false), NewVersion)
 	is.Equal(Choose(r, 40, false, false), OldVersions)
 	is.Equal(Choose(r, 0, true, false), OldVersions) // a retry
-	is.Equal(Choose(r, 0, false, true), OldVersions) // a careful node
+	is.Equal(Choose(r, 0, false, true), OldVersions) // the node avoids the new version
 	r.Phase = Closing
 	is.Equal(Choose(r, 999, true, true), NewVersion) // the old versions take no calls
 	r.Phase = Reverting
@@ -69,20 +69,20 @@
 func TestNodesStopAfterRepeatedFailures(t *testing.T) {
 	is := is.New(t)
 	r := Rollout{Number: 1, Phase: Running, Share: 40}
-	var c Caution
-	for range carefulFailures - 1 {
-		c.Note(r, true)
+	var c FailureGuard
+	for range failureGuardThreshold - 1 {
+		c.Record(r, true)
 	}
-	is.True(!c.Careful(r))
-	c.Note(r, false)
-	c.Note(r, true)
-	is.True(!c.Careful(r))
-	c.Note(r, true)
-	is.True(c.Careful(r))
-	c.Note(r, false)
-	is.True(c.Careful(r)) // until the share changes
+	is.True(!c.AvoidsNewVersion(r))
+	c.Record(r, false)
+	c.Record(r, true)
+	is.True(!c.AvoidsNewVersion(r))
+	c.Record(r, true)
+	is.True(c.AvoidsNewVersion(r))
+	c.Record(r, false)
+	is.True(c.AvoidsNewVersion(r)) // until the share changes
 	r.Share = 250
-	is.True(!c.Careful(r))
+	is.True(!c.AvoidsNewVersion(r))
 }
 
 func TestTallyOmitsColdTimes(t *testing.T) {
@@ -92,10 +92,10 @@
 		tally.Admit(false)
 	}
 	tally.Admit(true)
-	tally.End("r", Answered, 100*time.Millisecond, false)
-	tally.End("r", Answered, time.Second, true)
-	tally.End("r", Failed, time.Second, false)
-	tally.End("r", GivenUp, time.Second, false)
+	tally.RecordOutcome("r", Answered, 100*time.Millisecond, false)
+	tally.RecordOutcome("r", Answered, time.Second, true)
+	tally.RecordOutcome("r", Failed, time.Second, false)
+	tally.RecordOutcome("r", Cancelled, time.Second, false)
 	var report Report
 	tally.Fill(&report)
 	is.Equal(report.Admitted, uint64(5))
--- a/pkg/rollout/judge.go
+++ b/pkg/rollout/judge.go
@@ -14,13 +14,13 @@
 	ExposureSlack uint64
 }
 
-// Holder is a node that holds a copy of the rollout and may send calls to the service.
-type Holder struct {
+// NodeState is a node that holds a copy of the rollout and may send calls to the service.
+type NodeState struct {
 	Name string
 	// Confirmed is set once the node has confirmed phase and share of the committed step.
 	Confirmed bool
-	// Silent is the time since this leader last heard from the node, at most the time it has been leader.
-	Silent time.Duration
+	// SinceLastContact is the time since this leader last heard from the node, at most the time it has been leader.
+	SinceLastContact time.Duration
 }
 
 // GateState is what the control plane knows about the gate of one back end of the service.
@@ -33,14 +33,14 @@
 	Confirmed bool
 	// AtWork is the number of calls in flight at the back end, as the gate reported after it confirmed.
 	AtWork int
-	// Silent is the time since this leader last heard from the gate's node, at most the time it has been leader.
-	Silent time.Duration
+	// SinceLastContact is the time since this leader last heard from the gate's node, at most the time it has been leader.
+	SinceLastContact time.Duration
 }
 
 // View is what the leader knows about nodes and gates beyond their reports.
 type View struct {
-	// Holders are the nodes that this leader has heard from.
-	Holders []Holder
+	// NodeStates are the nodes that this leader has heard from.
+	NodeStates []NodeState
 	// Gates lists every registered back end of the service that is not leaving. A process run missing from
 	// it has ended.
 	Gates []GateState
@@ -119,9 +119,9 @@
 	}
 }
 
-// Take stores a gate's report, unless it belongs to another order or is older than the stored one of the
+// AddReport stores a gate's report, unless it belongs to another order or is older than the stored one of the
 // same process run.
-func (j *Judge) Take(now time.Time, report Report) {
+func (j *Judge) AddReport(now time.Time, report Report) {
 	if report.Service != j.service || report.Number != j.number {
 		return
 	}
@@ -205,12 +205,12 @@
 		}
 		return j.grantStep(next, changed)
 	}
-	if held.Share == Thousandths && !v.mayClose() && since < p.closeBy() {
+	if held.Share == FullShare && !v.mayClose() && since < p.closeBy() {
 		return j.grantStep(next, changed)
 	}
-	if held.Share == Thousandths {
+	if held.Share == FullShare {
 		next.Reason = j.evidenceReason()
-		return j.transition(now, next, Closing, Thousandths, next.Reason), true
+		return j.transition(now, next, Closing, FullShare, next.Reason), true
 	}
 	share := stages[stageOf(held.Share)+1]
 	return j.transition(now, next, Running, share, j.evidenceReason()), true
@@ -232,7 +232,7 @@
 	if held.Share == canaryShare {
 		return enough && since >= p.canaryEnd() && lasted >= minStage && len(j.connectedTargetRuns(now, view)) > 0
 	}
-	if held.Share == Thousandths && lasted < confirmTimeout && !allConfirmed(view) {
+	if held.Share == FullShare && lasted < confirmTimeout && !allConfirmed(view) {
 		return false
 	}
 	return enough && lasted >= p.stageTime(begun, held.Share)
@@ -282,7 +282,7 @@
 			j.stageBaseline = 0
 		}
 	}
-	expected := j.callRate(now, held) * lasted.Seconds() * float64(held.Share) / Thousandths
+	expected := j.callRate(now, held) * lasted.Seconds() * float64(held.Share) / FullShare
 	received := float64(endedCalls - min(endedCalls, j.stageBaseline))
 	if lasted >= 2*planFor(held.Duration).stage && received >= minResponsesLate {
 		return true
@@ -315,7 +315,7 @@
 			return held, false
 		}
 	}
-	return j.transition(now, held, Completed, Thousandths, held.Reason), true
+	return j.transition(now, held, Completed, FullShare, held.Reason), true
 }
 
 // drained reports whether an old gate has no calls in flight, or has been disconnected long enough for its
@@ -323,15 +323,15 @@
 // after completion and would lose its calls.
 func drained(g GateState, lasted time.Duration) bool {
 	done := g.Confirmed && g.AtWork == 0
-	if g.Silent <= LeaseTime {
+	if g.SinceLastContact <= LeaseTime {
 		return done
 	}
-	return lasted >= drainTimeout && (done || g.Silent >= LeaseTime+drainTimeout)
+	return lasted >= drainTimeout && (done || g.SinceLastContact >= LeaseTime+drainTimeout)
 }
 
 // allConfirmed reports whether all connected nodes have confirmed the committed step.
 func allConfirmed(view View) bool {
-	return !slices.ContainsFunc(view.Holders, func(h Holder) bool { return !h.Confirmed && h.Silent <= LeaseTime })
+	return !slices.ContainsFunc(view.NodeStates, func(h NodeState) bool { return !h.Confirmed && h.SinceLastContact <= LeaseTime })
 }
 
 // revertConfirmed reports whether no gate of the new version admits calls any more: each has confirmed the
--- a/pkg/rollout/judge_test.go
+++ b/pkg/rollout/judge_test.go
@@ -37,12 +37,12 @@
 }
 
 func TestClosingWaitsForConfirmationsAndCallsInFlight(t *testing.T) {
-	held := Rollout{Service: "s", Version: "v2", Number: 1, Phase: Closing, Share: Thousandths, Duration: 12 * time.Second,
+	held := Rollout{Service: "s", Version: "v2", Number: 1, Phase: Closing, Share: FullShare, Duration: 12 * time.Second,
 		AtMillis: orderTime.UnixMilli(), ShareAtMillis: orderTime.UnixMilli()}
 	confirmedView := func() View {
 		return View{
-			Holders: []Holder{{Name: "a", Confirmed: true}, {Name: "b", Confirmed: true}},
-			Gates:   []GateState{{Version: "v1", Confirmed: true}, {Version: "v2", Life: 7}},
+			NodeStates: []NodeState{{Name: "a", Confirmed: true}, {Name: "b", Confirmed: true}},
+			Gates:      []GateState{{Version: "v1", Confirmed: true}, {Version: "v2", Life: 7}},
 		}
 	}
 	for _, c := range []struct {
@@ -52,18 +52,18 @@
 		done  bool
 	}{
 		{"all is done", func(*View) {}, time.Second, true},
-		{"a node has not heard", func(v *View) { v.Holders[1].Confirmed = false }, time.Second, false},
+		{"a node has not heard", func(v *View) { v.NodeStates[1].Confirmed = false }, time.Second, false},
 		{"a gate has not heard", func(v *View) { v.Gates[0].Confirmed = false }, time.Second, false},
 		{"calls are at work", func(v *View) { v.Gates[0].AtWork = 1 }, 5 * time.Second, false},
 		{"calls are at work for long", func(v *View) { v.Gates[0].AtWork = 1 }, time.Minute, false},
-		{"a node has not heard for long", func(v *View) { v.Holders[1].Confirmed = false }, time.Minute, false},
+		{"a node has not heard for long", func(v *View) { v.NodeStates[1].Confirmed = false }, time.Minute, false},
 		{"a gate has not heard for long", func(v *View) { v.Gates[0].Confirmed = false }, time.Minute, false},
-		{"a node is cut off", func(v *View) { v.Holders[1] = Holder{Silent: time.Minute} }, time.Second, true},
-		{"a gate is cut off", func(v *View) { v.Gates[0] = GateState{Version: "v1", Silent: time.Minute} }, time.Second, false},
-		{"a gate with calls was just cut off", func(v *View) { v.Gates[0].AtWork, v.Gates[0].Silent = 1, LeaseTime+time.Millisecond }, 5 * time.Second, false},
-		{"a gate with calls was cut off", func(v *View) { v.Gates[0].AtWork, v.Gates[0].Silent = 1, LeaseTime+drainTimeout }, 5 * time.Second, true},
-		{"a gate without calls was just cut off", func(v *View) { v.Gates[0].Silent = LeaseTime + time.Millisecond }, 5 * time.Second, true},
-		{"a gate is cut off for long", func(v *View) { v.Gates[0] = GateState{Version: "v1", Silent: time.Minute} }, drainTimeout, true},
+		{"a node is cut off", func(v *View) { v.NodeStates[1] = NodeState{SinceLastContact: time.Minute} }, time.Second, true},
+		{"a gate is cut off", func(v *View) { v.Gates[0] = GateState{Version: "v1", SinceLastContact: time.Minute} }, time.Second, false},
+		{"a gate with calls was just cut off", func(v *View) { v.Gates[0].AtWork, v.Gates[0].SinceLastContact = 1, LeaseTime+time.Millisecond }, 5 * time.Second, false},
+		{"a gate with calls was cut off", func(v *View) { v.Gates[0].AtWork, v.Gates[0].SinceLastContact = 1, LeaseTime+drainTimeout }, 5 * time.Second, true},
+		{"a gate without calls was just cut off", func(v *View) { v.Gates[0].SinceLastContact = LeaseTime + time.Millisecond }, 5 * time.Second, true},
+		{"a gate is cut off for long", func(v *View) { v.Gates[0] = GateState{Version: "v1", SinceLastContact: time.Minute} }, drainTimeout, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -81,7 +81,7 @@
 func TestRolledBackNeedsConfirmationOrExpiredLeases(t *testing.T) {
 	is := is.New(t)
 	held := Rollout{Service: "s", Version: "v2", Number: 1, Phase: Reverting, AtMillis: orderTime.UnixMilli(), ShareAtMillis: orderTime.UnixMilli()}
-	view := View{Gates: []GateState{{Version: "v1"}, {Version: "v2", Silent: time.Minute}}}
+	view := View{Gates: []GateState{{Version: "v1"}, {Version: "v2", SinceLastContact: time.Minute}}}
 	judge := NewJudge(Policy{0.1, 50}, held)
 	_, changed := judge.Next(orderTime.Add(LeaseTime), held, view)
 	is.True(!changed)
@@ -97,9 +97,9 @@
 	held := Start(Order{Service: "s", Version: "v2", Duration: 12 * time.Second}, nil, orderTime)
 	judge := NewJudge(Policy{0.1, 50}, held)
 	now := orderTime.Add(time.Second)
-	judge.Take(now, Report{Service: "s", Number: 1, Version: "v1", Life: 1, Admitted: 1000})
-	judge.Take(now, Report{Service: "s", Number: 1, Version: "v2", Life: 2})
-	judge.Take(now, Report{Service: "s", Number: 2, Version: "v2", Life: 3}) // of another order
+	judge.AddReport(now, Report{Service: "s", Number: 1, Version: "v1", Life: 1, Admitted: 1000})
+	judge.AddReport(now, Report{Service: "s", Number: 1, Version: "v2", Life: 2})
+	judge.AddReport(now, Report{Service: "s", Number: 2, Version: "v2", Life: 3}) // of another order
 	view := View{Gates: []GateState{{Version: "v1", Life: 1}, {Version: "v2", Life: 2}}}
 	next, changed := judge.Next(now, held, view)
 	is.True(changed)
--- a/pkg/rollout/node.go
+++ b/pkg/rollout/node.go
@@ -12,13 +12,13 @@
 	NewVersion
 )
 
-// Choose returns the side for a call; draw is a random number in [0, Thousandths). A retry goes to the old
-// versions while they take calls, so that a bad version does not fail the same call twice. A careful node
-// sends nothing to the new version while the old ones take calls.
-func Choose(r Rollout, draw int, repeat, careful bool) Side {
+// Choose returns the side for a call; draw is a random number in [0, FullShare). A retry goes to the old
+// versions while they take calls, so that a bad version does not fail the same call twice. With avoidNew
+// set, the new version gets no calls while the old ones take calls.
+func Choose(r Rollout, draw int, repeat, avoidNew bool) Side {
 	switch r.Phase {
 	case Running:
-		if careful || repeat && r.Share < Thousandths || draw >= r.Share {
+		if avoidNew || repeat && r.Share < FullShare || draw >= r.Share {
 			return OldVersions
 		}
 		return NewVersion
@@ -41,33 +41,33 @@
 	return true
 }
 
-// carefulFailures is the excess of failures over successes in a node's own calls at which it stops sending
+// failureGuardThreshold is the excess of failures over successes in a node's own calls at which it stops sending
 // calls to the new version.
-const carefulFailures = 4
+const failureGuardThreshold = 4
 
-// Caution tracks one node's own failures at the new version. The node stops sending calls to it before the
+// FailureGuard tracks one node's own failures at the new version. The node stops sending calls to it before the
 // control plane decides, until the share changes.
-type Caution struct {
+type FailureGuard struct {
 	number  uint64
 	share   int
 	balance int
 }
 
-// Note counts the outcome of a call to the new version.
-func (c *Caution) Note(r Rollout, failed bool) {
-	if c.number != r.Number || c.share != r.Share {
-		*c = Caution{number: r.Number, share: r.Share}
+// Record counts the outcome of a call to the new version.
+func (g *FailureGuard) Record(r Rollout, failed bool) {
+	if g.number != r.Number || g.share != r.Share {
+		*g = FailureGuard{number: r.Number, share: r.Share}
 	}
 	if failed {
-		c.balance++
+		g.balance++
 		return
 	}
-	if c.balance > 0 && c.balance < carefulFailures {
-		c.balance--
+	if g.balance > 0 && g.balance < failureGuardThreshold {
+		g.balance--
 	}
 }
 
-// Careful reports whether the node sends the new version no calls at this share.
-func (c *Caution) Careful(r Rollout) bool {
-	return c.number == r.Number && c.share == r.Share && c.balance >= carefulFailures
+// AvoidsNewVersion reports whether the node sends the new version no calls at this share.
+func (g *FailureGuard) AvoidsNewVersion(r Rollout) bool {
+	return g.number == r.Number && g.share == r.Share && g.balance >= failureGuardThreshold
 }
--- a/pkg/rollout/order.go
+++ b/pkg/rollout/order.go
@@ -13,10 +13,10 @@
 	ErrInvalid = errors.New("a rollout names a service, a version and a positive duration")
 	// ErrUnknownService rejects an order for a service that is neither configured nor registered.
 	ErrUnknownService = errors.New("no such service")
-	// ErrNothingToDo rejects an order for a version that is already the only one running.
-	ErrNothingToDo = errors.New("the version runs already as the only one")
-	// ErrUnderWay rejects an order identical to the running one: same service, version and duration.
-	ErrUnderWay = errors.New("this rollout is under way")
+	// ErrAlreadyComplete rejects an order for a version that is already the only one running.
+	ErrAlreadyComplete = errors.New("the version runs already as the only one")
+	// ErrAlreadyRunning rejects an order identical to the running one: same service, version and duration.
+	ErrAlreadyRunning = errors.New("this rollout is under way")
 	// ErrConflict rejects an order for a service with another running rollout.
 	ErrConflict = errors.New("another rollout of the service is under way")
 	// ErrNotRunning rejects a stop if no rollout of the service can be stopped.
@@ -42,7 +42,7 @@
 	}
 	if held != nil && !held.Phase.Ended() {
 		if held.Version == order.Version && held.Duration == order.Duration {
-			return ErrUnderWay
+			return ErrAlreadyRunning
 		}
 		return ErrConflict
 	}
@@ -51,7 +51,7 @@
 	}
 	others := slices.ContainsFunc(present, func(v string) bool { return v != order.Version })
 	if !others && len(present) > 0 {
-		return ErrNothingToDo
+		return ErrAlreadyComplete
 	}
 	return nil
 }
--- a/pkg/rollout/order_test.go
+++ b/pkg/rollout/order_test.go
@@ -22,8 +22,8 @@
 	is.NoErr(Check(order, nil, true, nil))            // none run at all
 	is.NoErr(Check(order, &ended, true, both))        // a second rollout
 	is.Equal(Check(order, nil, false, nil), ErrUnknownService)
-	is.Equal(Check(order, nil, true, []string{"v2", "v2"}), ErrNothingToDo)
-	is.Equal(Check(order, &running, true, both), ErrUnderWay)
+	is.Equal(Check(order, nil, true, []string{"v2", "v2"}), ErrAlreadyComplete)
+	is.Equal(Check(order, &running, true, both), ErrAlreadyRunning)
 	other := order
 	other.Version = "v3"
 	is.Equal(Check(other, &running, true, both), ErrConflict)
--- a/pkg/rollout/report.go
+++ b/pkg/rollout/report.go
@@ -70,8 +70,8 @@
 	Answered Outcome = iota
 	// Failed calls got an error of the back end itself, a broken exchange or no response in time.
 	Failed
-	// GivenUp calls were cancelled by their caller and say nothing about the back end.
-	GivenUp
+	// Cancelled calls were cancelled by their caller and say nothing about the back end.
+	Cancelled
 )
 
 // Tally counts a gate's calls by route and outcome for its reports. It is not safe for concurrent use.
@@ -94,10 +94,10 @@
 	return t.admitted
 }
 
-// End counts the outcome of an admitted call. cold is set if the back end was cold when the call arrived
+// RecordOutcome counts the outcome of an admitted call. cold is set if the back end was cold when the call arrived
 // or ended; its time is not counted then.
-func (t *Tally) End(route string, outcome Outcome, took time.Duration, cold bool) {
-	if outcome == GivenUp {
+func (t *Tally) RecordOutcome(route string, outcome Outcome, took time.Duration, cold bool) {
+	if outcome == Cancelled {
 		return
 	}
 	if t.routes == nil {
--- a/pkg/rollout/rollout.go
+++ b/pkg/rollout/rollout.go
@@ -52,8 +52,8 @@
 	return p == Completed || p == RolledBack
 }
 
-// Thousandths is the Share of a version that gets all calls.
-const Thousandths = 1000
+// FullShare is the Share of a version that gets all calls.
+const FullShare = 1000
 
 // Grant bounds the calls that the gate of one back end of the new version may admit.
 type Grant struct {
--- a/pkg/rollout/schedule.go
+++ b/pkg/rollout/schedule.go
@@ -8,7 +8,7 @@
 
 // stages are the shares from the canary to all calls. The steps after the canary come as late as the
 // duration allows, so that a version which fails at a higher share has had few calls.
-var stages = []int{canaryShare, 250, 500, Thousandths}
+var stages = []int{canaryShare, 250, 500, FullShare}
 
 const (
 	// minStage is the length of the shortest stage: nodes must receive it and calls must end in it.
--- a/pkg/rollout/simulation_calls_test.go
+++ b/pkg/rollout/simulation_calls_test.go
@@ -13,7 +13,7 @@
 	for _, c := range sim.endingCalls[sim.tick()] {
 		isBad := c.failed || c.slow
 		if c.to.version == "v2" {
-			c.from.caution.Note(c.from.held, c.failed)
+			c.from.guard.Record(c.from.held, c.failed)
 			if isBad && sim.scenario.bad != nil {
 				sim.bad = append(sim.bad, sim.now)
 			}
@@ -26,7 +26,7 @@
 		if c.failed {
 			outcome = Failed
 		}
-		c.to.tally.End(string(rune('0'+c.route)), outcome, c.took, c.cold || sim.cold(c.to))
+		c.to.tally.RecordOutcome(string(rune('0'+c.route)), outcome, c.took, c.cold || sim.cold(c.to))
 		if c.failed && !c.isRetry && sim.rng.Float64() < 0.7 {
 			sim.dispatch(simCall{route: c.route, zone: c.zone, isRetry: true, markedRepeat: sim.rng.Intn(2) == 0, from: c.from})
 		}
@@ -63,7 +63,7 @@
 
 func (sim *simulation) dispatch(c simCall) {
 	r := c.from.held
-	side := Choose(r, sim.rng.Intn(Thousandths), c.markedRepeat, c.from.caution.Careful(r))
+	side := Choose(r, sim.rng.Intn(FullShare), c.markedRepeat, c.from.guard.AvoidsNewVersion(r))
 	if sim.eager {
 		side = NewVersion
 	}
@@ -75,7 +75,7 @@
 		if b == nil {
 			continue
 		}
-		gate := Gate{Version: b.version, Life: b.runID, Admitted: b.tally.Admitted(), Confirmed: sim.now - b.node.confirmed, Cold: sim.cold(b)}
+		gate := Gate{Version: b.version, Life: b.runID, Admitted: b.tally.Admitted(), SinceConfirmed: sim.now - b.node.confirmed, Cold: sim.cold(b)}
 		if !gate.Admits(b.node.held) {
 			continue
 		}
@@ -145,7 +145,7 @@
 
 // checkAdmission counts calls that the new version must not get.
 func (sim *simulation) checkAdmission() {
-	if sim.held().Phase == Running && sim.held().Share < Thousandths && float64(sim.exposed) > 0.1*float64(sim.reached)+50 {
+	if sim.held().Phase == Running && sim.held().Share < FullShare && float64(sim.exposed) > 0.1*float64(sim.reached)+50 {
 		sim.res.overBudget++
 	}
 	if len(sim.bad) >= 50 && sim.now > sim.bad[49]+5*time.Second {
--- a/pkg/rollout/simulation_test.go
+++ b/pkg/rollout/simulation_test.go
@@ -65,7 +65,7 @@
 	heardAt       time.Duration
 	partitioned   bool
 	partitionedAt time.Duration // when it was partitioned last
-	caution       Caution
+	guard         FailureGuard
 }
 
 type simCall struct {
@@ -340,7 +340,7 @@
 		if m.acked == 0 {
 			continue // this leader has not heard from it
 		}
-		v.Holders = append(v.Holders, Holder{Confirmed: sim.acked(m), Silent: sim.now - m.heardAt})
+		v.NodeStates = append(v.NodeStates, NodeState{Confirmed: sim.acked(m), SinceLastContact: sim.now - m.heardAt})
 	}
 	for _, b := range sim.backends {
 		if sim.now >= b.start {
@@ -348,7 +348,7 @@
 			if sim.judge.runs[life] == nil {
 				life = 0 // the leader has no report of it
 			}
-			v.Gates = append(v.Gates, GateState{Version: b.version, Life: life, Confirmed: sim.acked(b.node), AtWork: b.inFlight, Silent: sim.now - b.node.heardAt})
+			v.Gates = append(v.Gates, GateState{Version: b.version, Life: life, Confirmed: sim.acked(b.node), AtWork: b.inFlight, SinceLastContact: sim.now - b.node.heardAt})
 		}
 	}
 	return v
@@ -378,7 +378,7 @@
 	}
 	for _, r := range sim.reports[sim.tick()] {
 		if sim.judge != nil {
-			sim.judge.Take(sim.epoch.Add(sim.now), r)
+			sim.judge.AddReport(sim.epoch.Add(sim.now), r)
 		}
 	}
 	delete(sim.reports, sim.tick())
