--- a/pkg/balancer/distance_test.go
+++ b/pkg/balancer/distance_test.go
@@ -77,7 +77,7 @@
 	service := multiRegionService(40)
 	for i := range service.Endpoints {
 		if service.Endpoints[i].Region == "east" {
-			service.Endpoints[i].Refused = exchange.ReasonEvacuated
+			service.Endpoints[i].RejectReason = exchange.ReasonEvacuated
 		}
 	}
 	p.Update(time.Second, service)
--- a/pkg/balancer/endpoint.go
+++ b/pkg/balancer/endpoint.go
@@ -55,7 +55,7 @@
 
 // eligible reports whether the back end may take a call restricted to the given regions (empty means all).
 func (e *endpoint) eligible(regions []string) bool {
-	if e.leaving || e.target.Refused != "" {
+	if e.leaving || e.target.RejectReason != "" {
 		return false
 	}
 	return len(regions) == 0 || slices.Contains(regions, e.target.Region)
--- a/pkg/balancer/pool.go
+++ b/pkg/balancer/pool.go
@@ -143,7 +143,7 @@
 
 // unavailable reports whether a back end gets no new calls: it is leaving, its zone is evacuated or a similar
 // order excludes it, or a rollout closes its gate.
-func unavailable(e routing.Endpoint) bool { return e.Leaving || e.Refused != "" || e.Closing }
+func unavailable(e routing.Endpoint) bool { return e.Leaving || e.RejectReason != "" || e.Closing }
 
 func compareBool(a, b bool) int {
 	if a == b {
--- a/pkg/balancer/refused.go
+++ b/pkg/balancer/refused.go
@@ -14,7 +14,7 @@
 	var reasons []exchange.Reason
 	counts := map[exchange.Reason]int{}
 	for _, e := range p.endpoints {
-		if reason := e.target.Refused; reason != "" && !e.leaving {
+		if reason := e.target.RejectReason; reason != "" && !e.leaving {
 			counts[reason]++
 			reasons = append(reasons, reason)
 		}
--- a/pkg/balancer/refused_test.go
+++ b/pkg/balancer/refused_test.go
@@ -20,7 +20,7 @@
 	service := func(refused ...exchange.Reason) routing.Service {
 		s := routing.Service{Name: "s"}
 		for i, reason := range refused {
-			s.Endpoints = append(s.Endpoints, routing.Endpoint{ID: string(rune('a' + i)), Incarnation: 1, Refused: reason})
+			s.Endpoints = append(s.Endpoints, routing.Endpoint{ID: string(rune('a' + i)), Incarnation: 1, RejectReason: reason})
 		}
 		return s
 	}
--- a/pkg/balancer/subset_test.go
+++ b/pkg/balancer/subset_test.go
@@ -45,7 +45,7 @@
 	is := is.New(t)
 	service := routing.Service{Name: "s"}
 	for i := range 40 {
-		e := routing.Endpoint{ID: fmt.Sprintf("own-%d", i), Incarnation: 1, Zone: "z1", Gate: "10.0.0.1:1", Refused: exchange.ReasonEvacuated}
+		e := routing.Endpoint{ID: fmt.Sprintf("own-%d", i), Incarnation: 1, Zone: "z1", Gate: "10.0.0.1:1", RejectReason: exchange.ReasonEvacuated}
 		service.Endpoints = append(service.Endpoints, e)
 	}
 	for i := range 30 {
@@ -58,7 +58,7 @@
 
 	// After the evacuation ends, the own zone is preferred again.
 	for i := range 40 {
-		service.Endpoints[i].Refused = ""
+		service.Endpoints[i].RejectReason = ""
 	}
 	p.Update(0, service)
 	local := 0
--- a/pkg/forward/handler.go
+++ b/pkg/forward/handler.go
@@ -196,9 +196,9 @@
 		next.services[definition.Name] = svc
 	}
 	h.snapshot.Store(next)
-	h.serviceTime.prune(table.Has)
-	h.throttles.prune(table.Has)
-	h.callerTimeouts.prune(table.Has)
+	h.serviceTime.prune(table.HasRoute)
+	h.throttles.prune(table.HasRoute)
+	h.callerTimeouts.prune(table.HasRoute)
 	h.closeUnused(old, next)
 }
 
--- a/pkg/forward/region_delays_test.go
+++ b/pkg/forward/region_delays_test.go
@@ -22,7 +22,7 @@
 	endpoint := func(id, gate, zone string) distribution.Endpoint {
 		return distribution.Endpoint{Service: "s", ID: id, Incarnation: 1, Address: "10.0.0.1:1", Gate: gate, Zone: zone, Capacity: 4}
 	}
-	return routing.Next(nil, &distribution.State{
+	return routing.Update(nil, &distribution.State{
 		Active: &bundle.Signed{Manifest: bundle.Manifest{Version: version}, Content: bundle.Content{
 			Services: []bundle.Service{{Name: "s"}},
 			Routes: []bundle.Route{{Name: "r", Host: "shop.example", PathPrefix: "/r/", Service: "s", Kind: bundle.KindSafe, MaxAttempts: 3,
--- a/pkg/forward/weighted_route_test.go
+++ b/pkg/forward/weighted_route_test.go
@@ -20,7 +20,7 @@
 func weightedRoute(oldGate, newGate string, regions map[string]string, ordered *orders.Table, allowedRegions ...string) *Handler {
 	started := time.Now()
 	handler := New(Config{Node: "n", Zone: "z", Now: func() time.Duration { return time.Since(started) }, Headers: gatedHeaders})
-	handler.SetTable(routing.Next(nil, &distribution.State{
+	handler.SetTable(routing.Update(nil, &distribution.State{
 		Active: &bundle.Signed{Manifest: bundle.Manifest{Version: 1}, Content: bundle.Content{
 			Services: []bundle.Service{{Name: "old"}, {Name: "new"}},
 			Routes: []bundle.Route{{
--- a/pkg/proxy/proxy.go
+++ b/pkg/proxy/proxy.go
@@ -353,7 +353,7 @@
 // activate applies a new state to routing, the gate, quotas and rollouts.
 func (s *Server) activate(state *distribution.State) {
 	s.applyWatchlist(state.Watchlist, state.Revision)
-	table := routing.Next(s.table, state, s.settings.Zones)
+	table := routing.Update(s.table, state, s.settings.Zones)
 	if s.table == nil || s.table.Version != table.Version {
 		s.quotas.SetLimits(s.clock.Elapsed(), table.TenantLimits())
 	}
--- a/pkg/routing/routing.go
+++ b/pkg/routing/routing.go
@@ -77,8 +77,8 @@
 	Version string
 	// Closing is set while a rollout closes the back end's gate: it gets calls again only if the rollout fails.
 	Closing bool
-	// Refused is the reason why the back end gets no new calls at present, empty if it may get them.
-	Refused exchange.Reason
+	// RejectReason is the reason why the back end gets no new calls at present, empty if it may get them.
+	RejectReason exchange.Reason
 }
 
 // Service is the configuration of a service together with its current back ends.
@@ -115,11 +115,11 @@
 }
 
 // New builds the table of a state whose active bundle is valid, without a mapping of zones to regions.
-func New(state *distribution.State) *Table { return Next(nil, state, nil) }
+func New(state *distribution.State) *Table { return Update(nil, state, nil) }
 
-// Next builds the table of a state and reuses the indexes of the previous table, which may be nil, if the
+// Update builds the table of a state and reuses the indexes of the previous table, which may be nil, if the
 // bundle is the same: endpoints change far more often than bundles. regions maps zones to regions.
-func Next(previous *Table, state *distribution.State, regions map[string]string) *Table {
+func Update(previous *Table, state *distribution.State, regions map[string]string) *Table {
 	content := state.Active.Content
 	table := &Table{Version: state.Active.Manifest.Version, Revision: state.Revision, Limits: content.Limits, activeBundle: state.Active}
 	if previous != nil && previous.activeBundle == state.Active {
@@ -189,7 +189,7 @@
 		e := &all[i]
 		e.Region = rules.Region(e.Zone)
 		backend := eligibility.Backend{Service: service.Name, Zone: e.Zone, Version: e.Version}
-		e.Refused, e.Closing = rules.RejectReasonOf(backend), rules.Closes(backend)
+		e.RejectReason, e.Closing = rules.RejectReasonOf(backend), rules.Closes(backend)
 	}
 	slices.SortFunc(all, func(a, b Endpoint) int { return strings.Compare(a.ID, b.ID) })
 	return all
@@ -228,8 +228,8 @@
 	return strings.ToLower(host)
 }
 
-// Has reports whether the table has a route with the given name.
-func (t *Table) Has(name string) bool { return t.routes.names[name] }
+// HasRoute reports whether the table has a route with the given name.
+func (t *Table) HasRoute(name string) bool { return t.routes.names[name] }
 
-// Routes returns the number of routes in the table.
-func (t *Table) Routes() int { return len(t.routes.names) }
+// RouteCount returns the number of routes in the table.
+func (t *Table) RouteCount() int { return len(t.routes.names) }
