--- a/pkg/forward/gated.go
+++ b/pkg/forward/gated.go
@@ -155,7 +155,7 @@
 	case failure == nil || failure.reason.Reached():
 		g.throttle.Granted(g.now())
 	case !failure.reason.Busy():
-		g.throttle.Withdrawn(g.now())
+		g.throttle.Cancelled(g.now())
 	}
 }
 
--- a/pkg/forward/handler_test.go
+++ b/pkg/forward/handler_test.go
@@ -25,7 +25,7 @@
 func startNode(t *testing.T, addresses ...string) *httptest.Server {
 	t.Helper()
 	started := time.Now()
-	handler := New(Config{Node: "n", Now: func() time.Duration { return time.Since(started) }, Retry: retry.DefaultConfig(), DeclinedRetries: retry.DeclineConfig()})
+	handler := New(Config{Node: "n", Now: func() time.Duration { return time.Since(started) }, Retry: retry.DefaultConfig(), DeclinedRetries: retry.DeclinedRetriesConfig()})
 	handler.SetTable(newTable(addresses...))
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
@@ -275,7 +275,7 @@
 	listener.Close()
 	for name, server := range map[string]*httptest.Server{
 		"no back end": startNode(t), "connection refused": startNode(t, closed),
-		"no configuration": httptest.NewServer(New(Config{Now: func() time.Duration { return 0 }, Retry: retry.DefaultConfig(), DeclinedRetries: retry.DeclineConfig()})),
+		"no configuration": httptest.NewServer(New(Config{Now: func() time.Duration { return 0 }, Retry: retry.DefaultConfig(), DeclinedRetries: retry.DeclinedRetriesConfig()})),
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
--- a/pkg/proxy/proxy.go
+++ b/pkg/proxy/proxy.go
@@ -216,7 +216,7 @@
 func (s *Server) forwardConfig() forward.Config {
 	config := forward.Config{
 		Node: s.settings.Name, Zone: s.settings.Zone, Region: s.settings.Zones[s.settings.Zone], Now: s.clock.Elapsed,
-		Retry: retry.DefaultConfig(), DeclinedRetries: retry.DeclineConfig(), OnCall: s.observer.call,
+		Retry: retry.DefaultConfig(), DeclinedRetries: retry.DeclinedRetriesConfig(), OnCall: s.observer.call,
 		StopsAt: func() time.Duration { return time.Duration(s.stopsAt.Load()) },
 		Link:    s.link,
 		Headers: s.settings.Headers, Service: s.settings.Service, OnAttempt: s.observer.attempt, OnCongestion: s.observer.crowding,
--- a/pkg/retry/budget.go
+++ b/pkg/retry/budget.go
@@ -22,10 +22,10 @@
 	return Config{Ratio: 0.1, PerSecond: 1, Max: 20}
 }
 
-// DeclineConfig returns a configuration for retries of calls that a back end declined without starting
+// DeclinedRetriesConfig returns a configuration for retries of calls that a back end declined without starting
 // them. They may double the number of attempts: a decline is cheap, and the next back end may have free
 // capacity.
-func DeclineConfig() Config {
+func DeclinedRetriesConfig() Config {
 	return Config{Ratio: 1, PerSecond: 1, Max: 50}
 }
 
--- a/pkg/retry/throttle.go
+++ b/pkg/retry/throttle.go
@@ -48,8 +48,8 @@
 	t.granted++
 }
 
-// Withdrawn cancels a counted request whose response says nothing about the servers' capacity.
-func (t *Throttle) Withdrawn(now time.Duration) {
+// Cancelled cancels a counted request whose response says nothing about the servers' capacity.
+func (t *Throttle) Cancelled(now time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.decay(now)
--- a/pkg/retry/throttle_test.go
+++ b/pkg/retry/throttle_test.go
@@ -60,6 +60,6 @@
 	var throttle Throttle
 	for range 100 {
 		is.True(throttle.Allow(0, 0.01))
-		throttle.Withdrawn(0)
+		throttle.Cancelled(0)
 	}
 }
