--- a/pkg/control/membership.go
+++ b/pkg/control/membership.go
@@ -74,7 +74,7 @@
 		} else {
 			err = replica.CreateJoining(files, s.settings.Cluster, memberName(s.settings), replica.NewReplicaID())
 		}
-		if !errors.Is(err, storage.ErrNoRoom) {
+		if !errors.Is(err, storage.ErrWriteRejected) {
 			return err
 		}
 		time.Sleep(createRetryPause)
--- a/pkg/control/server.go
+++ b/pkg/control/server.go
@@ -104,7 +104,7 @@
 
 // Init creates the data folder of an initial member of a new cluster.
 func Init(config settings.Control) error {
-	files, err := storage.OpenFolder(config.Data)
+	files, err := storage.OpenDir(config.Data)
 	if err != nil {
 		return err
 	}
@@ -165,7 +165,7 @@
 }
 
 func (s *Server) openReplica() error {
-	files, err := storage.OpenFolder(s.settings.Data)
+	files, err := storage.OpenDir(s.settings.Data)
 	if err != nil {
 		return err
 	}
--- a/pkg/proxy/keeper_test.go
+++ b/pkg/proxy/keeper_test.go
@@ -63,7 +63,7 @@
 func TestNodeWithDiskServesSavedConfigurationAtStart(t *testing.T) {
 	is := is.New(t)
 	folder := filepath.Join(t.TempDir(), "data")
-	files, err := storage.OpenFolder(folder)
+	files, err := storage.OpenDir(folder)
 	is.NoErr(err)
 	k, inForce, _ := startKeeper(t, files)
 	is.NoErr(k.Apply(fullUpdate(t, 3)))
@@ -83,15 +83,15 @@
 }
 
 // failingSyncFolder fails every sync of the folder.
-type failingSyncFolder struct{ *storage.Folder }
+type failingSyncFolder struct{ *storage.Dir }
 
 var errSync = errors.New("sync failed")
 
-func (failingSyncFolder) SyncFolder() error { return errSync }
+func (failingSyncFolder) SyncDir() error { return errSync }
 
 func TestUnsavedConfigurationIsNotServed(t *testing.T) {
 	is := is.New(t)
-	folder, err := storage.OpenFolder(filepath.Join(t.TempDir(), "data"))
+	folder, err := storage.OpenDir(filepath.Join(t.TempDir(), "data"))
 	is.NoErr(err)
 	k, inForce, failure := startKeeper(t, failingSyncFolder{folder})
 	k.Confirmed(time.Second)
@@ -105,7 +105,7 @@
 func TestStateSavedByEarlierReleaseIsSentAgainInFull(t *testing.T) {
 	is := is.New(t)
 	folder := filepath.Join(t.TempDir(), "data")
-	files, err := storage.OpenFolder(folder)
+	files, err := storage.OpenDir(folder)
 	is.NoErr(err)
 	nodeState := (&distribution.State{}).Activate(signedVersion(t, 1))
 	controlState := nodeState.ChangeOrders(orders.Change{Evacuate: &orders.Evacuation{Zone: "a"}})
--- a/pkg/proxy/proxy.go
+++ b/pkg/proxy/proxy.go
@@ -159,7 +159,7 @@
 	}
 	var files storage.FileSystem
 	if s.settings.Data != "" {
-		if files, err = storage.OpenFolder(s.settings.Data); err != nil {
+		if files, err = storage.OpenDir(s.settings.Data); err != nil {
 			return err
 		}
 	}
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -188,7 +188,7 @@
 			break
 		}
 		if err := r.storage.Save(effects); err != nil {
-			if !errors.Is(err, storage.ErrNoRoom) {
+			if !errors.Is(err, storage.ErrWriteRejected) {
 				return Output{}, fmt.Errorf("make effects durable: %w", err)
 			}
 			r.unsaved = &effects
@@ -308,10 +308,10 @@
 	}
 	kept, hard, entries := r.node.Retained()
 	err = r.storage.Checkpoint(kept, hard, entries)
-	if err != nil && !errors.Is(err, storage.ErrNoRoom) {
+	if err != nil && !errors.Is(err, storage.ErrWriteRejected) {
 		return fmt.Errorf("compact: %w", err)
 	}
-	// After ErrNoRoom the old log remains in use and the next compaction retries.
+	// After ErrWriteRejected the old log remains in use and the next compaction retries.
 	r.compactedSize = r.storage.Size()
 	return nil
 }
--- a/pkg/replica/replica_test.go
+++ b/pkg/replica/replica_test.go
@@ -35,7 +35,7 @@
 
 // fullFileSystem fails writes while full is set.
 type fullFileSystem struct {
-	*storage.Folder
+	*storage.Dir
 	full *bool
 }
 
@@ -52,12 +52,12 @@
 }
 
 func (f fullFileSystem) Create(name string) (storage.File, error) {
-	file, err := f.Folder.Create(name)
+	file, err := f.Dir.Create(name)
 	return fullFile{file, f.full}, err
 }
 
 func (f fullFileSystem) OpenAppend(name string) (storage.File, error) {
-	file, err := f.Folder.OpenAppend(name)
+	file, err := f.Dir.OpenAppend(name)
 	return fullFile{file, f.full}, err
 }
 
@@ -76,7 +76,7 @@
 
 func (c *testCluster) open(name string, create func(storage.FileSystem) error) {
 	c.t.Helper()
-	folder, err := storage.OpenFolder(c.t.TempDir())
+	folder, err := storage.OpenDir(c.t.TempDir())
 	is.New(c.t).NoErr(err)
 	full := false
 	fsys := fullFileSystem{folder, &full}
--- a/pkg/replica/restart_test.go
+++ b/pkg/replica/restart_test.go
@@ -49,7 +49,7 @@
 // writeVersions creates a replica whose log contains restartVersions versions.
 func writeVersions(tb testing.TB) storage.FileSystem {
 	tb.Helper()
-	fsys, err := storage.OpenFolder(tb.TempDir())
+	fsys, err := storage.OpenDir(tb.TempDir())
 	must(tb, err)
 	must(tb, CreateFirst(fsys, "c", "a", []raft.Member{{Name: "a", Address: "a"}}))
 	r := openLeader(tb, fsys)
--- a/pkg/sim/disk.go
+++ b/pkg/sim/disk.go
@@ -100,8 +100,8 @@
 	return nil
 }
 
-// SyncFolder implements storage.FileSystem.
-func (d *disk) SyncFolder() error {
+// SyncDir implements storage.FileSystem.
+func (d *disk) SyncDir() error {
 	if err := d.syncError(); err != nil {
 		return err
 	}
--- a/pkg/sim/sim_test.go
+++ b/pkg/sim/sim_test.go
@@ -170,7 +170,7 @@
 		is.NoErr(err)
 		_, _ = fmt.Fprint(file, "synced")
 		is.NoErr(file.Sync())
-		is.NoErr(d.SyncFolder())
+		is.NoErr(d.SyncDir())
 		_, _ = fmt.Fprint(file, "-open")
 		d.crash()
 		content, err := d.ReadFile("log")
--- a/pkg/storage/filesystem.go
+++ b/pkg/storage/filesystem.go
@@ -33,45 +33,45 @@
 	OpenAppend(name string) (File, error)
 	// Rename renames the file oldName to newName and replaces an existing file of that name.
 	Rename(oldName, newName string) error
-	// SyncFolder makes created and renamed files durable.
-	SyncFolder() error
+	// SyncDir makes created and renamed files durable.
+	SyncDir() error
 }
 
-// Folder is a FileSystem in one folder of the operating system's file system.
-type Folder struct {
+// Dir is a FileSystem in one folder of the operating system's file system.
+type Dir struct {
 	path string
 }
 
-// OpenFolder returns the folder at path, and creates it if it does not exist.
-func OpenFolder(path string) (*Folder, error) {
+// OpenDir returns the folder at path, and creates it if it does not exist.
+func OpenDir(path string) (*Dir, error) {
 	if err := os.MkdirAll(path, folderMode); err != nil {
 		return nil, fmt.Errorf("create data folder: %w", err)
 	}
-	return &Folder{path: path}, nil
+	return &Dir{path: path}, nil
 }
 
 // ReadFile implements FileSystem.ReadFile with a path relative to the folder.
-func (f *Folder) ReadFile(name string) ([]byte, error) {
+func (f *Dir) ReadFile(name string) ([]byte, error) {
 	return os.ReadFile(filepath.Join(f.path, name))
 }
 
 // Create implements FileSystem.Create; only the owner may access the file.
-func (f *Folder) Create(name string) (File, error) {
+func (f *Dir) Create(name string) (File, error) {
 	return os.OpenFile(filepath.Join(f.path, name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY|os.O_APPEND, fileMode)
 }
 
 // OpenAppend implements FileSystem.OpenAppend and fails if there is no such file.
-func (f *Folder) OpenAppend(name string) (File, error) {
+func (f *Dir) OpenAppend(name string) (File, error) {
 	return os.OpenFile(filepath.Join(f.path, name), os.O_WRONLY|os.O_APPEND, fileMode)
 }
 
 // Rename implements FileSystem.Rename within the folder.
-func (f *Folder) Rename(oldName, newName string) error {
+func (f *Dir) Rename(oldName, newName string) error {
 	return os.Rename(filepath.Join(f.path, oldName), filepath.Join(f.path, newName))
 }
 
-// SyncFolder implements FileSystem.SyncFolder with an fsync of the folder.
-func (f *Folder) SyncFolder() error {
+// SyncDir implements FileSystem.SyncDir with an fsync of the folder.
+func (f *Dir) SyncDir() error {
 	folder, err := os.Open(f.path)
 	if err != nil {
 		return err
@@ -108,7 +108,7 @@
 	if err := fsys.Rename(temporary, name); err != nil {
 		return fmt.Errorf("rename %s: %w", temporary, err)
 	}
-	if err := fsys.SyncFolder(); err != nil {
+	if err := fsys.SyncDir(); err != nil {
 		return fmt.Errorf("sync folder of %s: %w", name, err)
 	}
 	return nil
--- a/pkg/storage/storage.go
+++ b/pkg/storage/storage.go
@@ -18,9 +18,9 @@
 // unknown what is durable, or that the storage is closed.
 var ErrDurabilityUnknown = errors.New("storage: an earlier write failed; the process must exit")
 
-// ErrNoRoom means that the disk rejected a write, for instance because it is full. A Save or
+// ErrWriteRejected means that the disk rejected a write, for instance because it is full. A Save or
 // Checkpoint that returns it had no effect and can be repeated.
-var ErrNoRoom = errors.New("storage: the disk rejected a write")
+var ErrWriteRejected = errors.New("storage: the disk rejected a write")
 
 // ErrNoState means that the folder contains no replica.
 var ErrNoState = errors.New("storage: data folder contains no replica")
@@ -48,7 +48,7 @@
 }
 
 // Create writes the durable state of a new replica with its first snapshot. It fails if the
-// folder already contains a replica. A failed write, sync or rename is reported as ErrNoRoom;
+// folder already contains a replica. A failed write, sync or rename is reported as ErrWriteRejected;
 // Create can then be repeated as long as ReadIdentity returns ErrNoState.
 func Create(fsys FileSystem, identity Identity, first raft.Snapshot) error {
 	content, err := json.Marshal(identity)
@@ -64,10 +64,10 @@
 		return fmt.Errorf("create replica: %w", err)
 	}
 	if err := WriteFileAtomic(fsys, logName, log); err != nil {
-		return fmt.Errorf("create replica: %w: %w", ErrNoRoom, err)
+		return fmt.Errorf("create replica: %w: %w", ErrWriteRejected, err)
 	}
 	if err := WriteFileAtomic(fsys, identityName, content); err != nil {
-		return fmt.Errorf("create replica: %w: %w", ErrNoRoom, err)
+		return fmt.Errorf("create replica: %w: %w", ErrWriteRejected, err)
 	}
 	return nil
 }
@@ -192,7 +192,7 @@
 func (s *Storage) Size() int64 { return s.size }
 
 // Save makes the hard state, snapshot and entries of a batch of effects durable. After
-// ErrNoRoom the same batch can be saved again.
+// ErrWriteRejected the same batch can be saved again.
 func (s *Storage) Save(effects raft.Effects) error {
 	if s.failed {
 		return ErrDurabilityUnknown
@@ -218,7 +218,7 @@
 	}
 	if _, err := s.file.Write(buffer); err != nil {
 		s.tornWrite = true
-		return fmt.Errorf("append to log: %w: %w", ErrNoRoom, err)
+		return fmt.Errorf("append to log: %w: %w", ErrWriteRejected, err)
 	}
 	if err := s.file.Sync(); err != nil {
 		s.failed = true
@@ -234,13 +234,13 @@
 		return nil
 	}
 	if err := s.file.Truncate(s.size); err != nil {
-		return fmt.Errorf("truncate failed write: %w: %w", ErrNoRoom, err)
+		return fmt.Errorf("truncate failed write: %w: %w", ErrWriteRejected, err)
 	}
 	s.tornWrite = false
 	return nil
 }
 
-// Checkpoint replaces the log file with one that starts with a snapshot. After ErrNoRoom the
+// Checkpoint replaces the log file with one that starts with a snapshot. After ErrWriteRejected the
 // old file remains in use.
 func (s *Storage) Checkpoint(snapshot raft.Snapshot, hard raft.HardState, entries []raft.Entry) error {
 	if s.failed {
@@ -251,7 +251,7 @@
 		return fmt.Errorf("checkpoint: %w", err)
 	}
 	if err := writeTemporary(s.fsys, logName, content); err != nil {
-		return fmt.Errorf("checkpoint: %w: %w", ErrNoRoom, err)
+		return fmt.Errorf("checkpoint: %w: %w", ErrWriteRejected, err)
 	}
 	// Until the new file is open, an error leaves it unknown which file is in use.
 	s.failed = true
--- a/pkg/storage/storage_test.go
+++ b/pkg/storage/storage_test.go
@@ -18,11 +18,11 @@
 }
 
 // newReplica creates a replica in a folder and appends entries 2 and 3.
-func newReplica(t *testing.T) (folder string, fsys *Folder) {
+func newReplica(t *testing.T) (folder string, fsys *Dir) {
 	t.Helper()
 	is := is.New(t)
 	folder = filepath.Join(t.TempDir(), "data")
-	fsys, err := OpenFolder(folder)
+	fsys, err := OpenDir(folder)
 	is.NoErr(err)
 	is.NoErr(Create(fsys, testIdentity, firstSnapshot()))
 	opened, _, err := Open(fsys)
@@ -93,7 +93,7 @@
 	is := is.New(t)
 	_, fsys := newReplica(t)
 	is.True(Create(fsys, testIdentity, firstSnapshot()) != nil)
-	emptyFolder, err := OpenFolder(t.TempDir())
+	emptyFolder, err := OpenDir(t.TempDir())
 	is.NoErr(err)
 	_, _, err = Open(emptyFolder)
 	is.True(errors.Is(err, ErrNoState))
@@ -117,7 +117,7 @@
 }
 
 // syncFailingFileSystem fails every sync of files opened for appending.
-type syncFailingFileSystem struct{ *Folder }
+type syncFailingFileSystem struct{ *Dir }
 
 type syncFailingFile struct{ File }
 
@@ -126,7 +126,7 @@
 func (syncFailingFile) Sync() error { return errSyncFailed }
 
 func (b syncFailingFileSystem) OpenAppend(name string) (File, error) {
-	file, err := b.Folder.OpenAppend(name)
+	file, err := b.Dir.OpenAppend(name)
 	return syncFailingFile{file}, err
 }
 
@@ -169,7 +169,7 @@
 
 // fullFileSystem fails every write while full is set; earlier data stays.
 type fullFileSystem struct {
-	*Folder
+	*Dir
 	full *bool
 }
 
@@ -190,12 +190,12 @@
 }
 
 func (f fullFileSystem) Create(name string) (File, error) {
-	file, err := f.Folder.Create(name)
+	file, err := f.Dir.Create(name)
 	return fullFile{file, f.full}, err
 }
 
 func (f fullFileSystem) OpenAppend(name string) (File, error) {
-	file, err := f.Folder.OpenAppend(name)
+	file, err := f.Dir.OpenAppend(name)
 	return fullFile{file, f.full}, err
 }
 
@@ -210,8 +210,8 @@
 	effects := raft.Effects{Entries: []raft.Entry{{Term: 3, Index: 4, Data: []byte("fourth")}}}
 	full = true
 	for range 3 {
-		is.True(errors.Is(opened.Save(effects), ErrNoRoom))
-		is.True(errors.Is(opened.Checkpoint(firstSnapshot(), state.HardState, state.Entries), ErrNoRoom))
+		is.True(errors.Is(opened.Save(effects), ErrWriteRejected))
+		is.True(errors.Is(opened.Checkpoint(firstSnapshot(), state.HardState, state.Entries), ErrWriteRejected))
 	}
 	full = false
 	is.NoErr(opened.Save(effects))
@@ -225,11 +225,11 @@
 
 func TestCreateSucceedsAfterFullDisk(t *testing.T) {
 	is := is.New(t)
-	fsys, err := OpenFolder(t.TempDir())
+	fsys, err := OpenDir(t.TempDir())
 	is.NoErr(err)
 	full := true
 	limited := fullFileSystem{fsys, &full}
-	is.True(errors.Is(Create(limited, testIdentity, firstSnapshot()), ErrNoRoom))
+	is.True(errors.Is(Create(limited, testIdentity, firstSnapshot()), ErrWriteRejected))
 	full = false
 	is.NoErr(Create(limited, testIdentity, firstSnapshot()))
 }
