--- a/pkg/control/server.go
+++ b/pkg/control/server.go
@@ -283,7 +283,7 @@
 
 func (s *Server) stepReplica(m inboundMessage) {
 	if m.address != "" {
-		s.replica.Learn(m.message.From, m.address)
+		s.replica.RecordAddress(m.message.From, m.address)
 	}
 	s.replica.Step(s.clock.Elapsed(), m.message)
 }
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -74,7 +74,7 @@
 	// compactedSize is the size of the log after the last compaction, in bytes.
 	compactedSize int64
 	replay        replayCost
-	// addresses holds the addresses that replicas reported themselves; see Learn.
+	// addresses holds the addresses that replicas reported themselves; see RecordAddress.
 	addresses map[raft.ReplicaID]string
 	// unsaved holds effects that the disk rejected. Until they are saved the replica processes
 	// nothing, and no message that depends on them is sent.
@@ -142,14 +142,14 @@
 	r.node.Step(now, m)
 }
 
-// Learn records the address that a replica reported itself. A joining replica has no membership
+// RecordAddress records the address that a replica reported itself. A joining replica has no membership
 // yet and needs the address to respond to its leader.
-func (r *Replica) Learn(id raft.ReplicaID, address string) {
+func (r *Replica) RecordAddress(id raft.ReplicaID, address string) {
 	r.addresses[id] = address
 }
 
 // Address returns the address of a replica from the membership or, for one that is not a
-// member, as recorded by Learn. It returns false if there is none.
+// member, as recorded by RecordAddress. It returns false if there is none.
 func (r *Replica) Address(id raft.ReplicaID) (string, bool) {
 	if member, found := r.node.Membership().Find(id); found {
 		return member.Address, true
--- a/pkg/sim/control.go
+++ b/pkg/sim/control.go
@@ -177,7 +177,7 @@
 	peer := c.cluster.controlByName(address)
 	from := c.name
 	c.cluster.network.sendDatagram(&c.process, &peer.process, func() {
-		peer.replica.Learn(m.From, from)
+		peer.replica.RecordAddress(m.From, from)
 		peer.replica.Step(peer.clock(), m)
 		peer.advance()
 	})
