--- a/pkg/control/membership.go
+++ b/pkg/control/membership.go
@@ -157,7 +157,7 @@
 		s.replica.Join(now, desired)
 		return desired
 	}
-	if now-node.HeardLeaderAt(now) > 2*time.Duration(s.settings.ElectionTimeout) {
+	if now-node.LastLeaderContact(now) > 2*time.Duration(s.settings.ElectionTimeout) {
 		return desired
 	}
 	return raft.Member{}
--- a/pkg/raft/lease.go
+++ b/pkg/raft/lease.go
@@ -102,9 +102,9 @@
 	return now - max(p.ackedSentAt, p.firstSentAt)
 }
 
-// HeardLeaderAt returns when this replica last received a message from a leader, or now if it
+// LastLeaderContact returns when this replica last received a message from a leader, or now if it
 // is the leader; zero if never.
-func (n *Node) HeardLeaderAt(now time.Duration) time.Duration {
+func (n *Node) LastLeaderContact(now time.Duration) time.Duration {
 	if n.role == Leader {
 		return now
 	}
--- a/pkg/sim/control.go
+++ b/pkg/sim/control.go
@@ -185,7 +185,7 @@
 
 func (c *control) requestJoin() {
 	node := c.replica.Node()
-	lost := c.cluster.expanded && c.clock()-node.HeardLeaderAt(c.clock()) > 2*electionTimeout
+	lost := c.cluster.expanded && c.clock()-node.LastLeaderContact(c.clock()) > 2*electionTimeout
 	if !node.Membership().IsVoter(node.ID()) || lost {
 		member := c.member()
 		member.ID = node.ID()
