--- a/pkg/control/membership.go
+++ b/pkg/control/membership.go
@@ -217,9 +217,9 @@
 	return err
 }
 
-// LeaderInterface returns the address of the leader's platform API, empty if unknown, and
+// LeaderAddress returns the address of the leader's platform API, empty if unknown, and
 // whether this replica is the leader.
-func (s *Server) LeaderInterface() (address string, self bool) {
+func (s *Server) LeaderAddress() (address string, self bool) {
 	view := s.membership.Load()
 	if view == nil {
 		return "", false
--- a/pkg/control/peers.go
+++ b/pkg/control/peers.go
@@ -136,9 +136,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("dial replica %s: %w", address, err)
 	}
-	link := &metrics.Link{}
-	link.Set(metrics.LinkReplica)
-	conn := wire.NewConn(raw, wire.DefaultMaxFrame, peerWriteTimeout, p.server.traffic.Observe(link))
+	role := &metrics.Link{}
+	role.Set(metrics.LinkReplica)
+	conn := wire.NewConn(raw, wire.DefaultMaxFrame, peerWriteTimeout, p.server.traffic.Observe(role))
 	hello := protocol.Hello{ClusterID: p.server.settings.Cluster, Role: protocol.RoleReplica, Name: p.server.settings.Name, Zone: p.server.settings.Zone,
 		Address: ownAddress(p.server.settings), KnowsSuspects: true, Level: catalog.NewestLevel}
 	welcome, err := protocol.Open(conn, hello, handshakeTimeout)
--- a/pkg/control/publish.go
+++ b/pkg/control/publish.go
@@ -31,7 +31,7 @@
 	Base    uint64
 	Version uint64
 	Content bundle.Content
-	// Source is the original document, which Newest returns unchanged.
+	// Source is the original document, which LatestDocument returns unchanged.
 	Source []byte
 }
 
@@ -111,7 +111,7 @@
 	defer cancel()
 	for {
 		err := s.readWithLease(ctx, read)
-		if _, leading := s.LeaderInterface(); err == nil || !leading {
+		if _, leading := s.LeaderAddress(); err == nil || !leading {
 			return err
 		}
 		select {
@@ -144,9 +144,9 @@
 	return opErr
 }
 
-// Newest returns the document and number of the newest version, zero if there is none. It fails if a
+// LatestDocument returns the document and number of the newest version, zero if there is none. It fails if a
 // newer version could exist.
-func (s *Server) Newest(ctx context.Context) (source []byte, version uint64, err error) {
+func (s *Server) LatestDocument(ctx context.Context) (source []byte, version uint64, err error) {
 	err = s.readAwaitingLease(ctx, func(time.Duration) {
 		source, version = s.replica.Catalog().Source, s.replica.Catalog().HeadVersion()
 	})
--- a/pkg/control/rollout_order.go
+++ b/pkg/control/rollout_order.go
@@ -123,9 +123,9 @@
 // maxStopAttempts bounds the proposals of a stop that concurrent steps invalidate.
 const maxStopAttempts = 5
 
-// Rollout returns a service's newest committed rollout, false if there was none. It fails if this replica
+// LatestRollout returns a service's newest committed rollout, false if there was none. It fails if this replica
 // can't rule out a newer state. The error is a *catalog.OperationError.
-func (s *Server) Rollout(ctx context.Context, service string) (current rollout.Rollout, found bool, err error) {
+func (s *Server) LatestRollout(ctx context.Context, service string) (current rollout.Rollout, found bool, err error) {
 	err = s.readAwaitingLease(ctx, func(time.Duration) { current, found = s.replica.State().Orders.RolloutOf(service) })
 	return current, found, err
 }
--- a/pkg/control/rollout_test.go
+++ b/pkg/control/rollout_test.go
@@ -54,7 +54,7 @@
 	requireRejected(t, server, rollout.Order{Service: "orders", Duration: time.Minute}, catalog.CodeInvalidRequest)
 	requireRejected(t, server, rollout.Order{Service: "other", Version: "v2", Duration: time.Minute}, catalog.CodeUnknownService)
 	requireRejected(t, server, rolloutTo("v1"), catalog.CodeNothingToDo)
-	_, found, err := server.Rollout(context.Background(), "orders")
+	_, found, err := server.LatestRollout(context.Background(), "orders")
 	is.NoErr(err)
 	is.True(!found)
 
@@ -81,7 +81,7 @@
 	is.True(stopped.Phase == rollout.Reverting || stopped.Phase == rollout.RolledBack)
 	for deadline := time.Now().Add(10 * time.Second); stopped.Phase != rollout.RolledBack; time.Sleep(20 * time.Millisecond) {
 		is.True(time.Now().Before(deadline))
-		stopped, _, err = server.Rollout(context.Background(), "orders")
+		stopped, _, err = server.LatestRollout(context.Background(), "orders")
 		is.NoErr(err)
 	}
 	resent, err = server.StartRollout(context.Background(), rolloutTo("v2"))
@@ -103,7 +103,7 @@
 		group.Go(func() { _, errs[i] = server.StartRollout(context.Background(), rolloutTo([]string{"v2", "v3"}[i%2])) })
 	}
 	group.Wait()
-	current, found, err := server.Rollout(context.Background(), "orders")
+	current, found, err := server.LatestRollout(context.Background(), "orders")
 	is.NoErr(err)
 	is.True(found)
 	is.Equal(current.Number, uint64(1))
@@ -126,7 +126,7 @@
 	server.recordReplicaLevel(protocol.Hello{Address: address, KnowsSuspects: true})
 	_, err = server.StopRollout(context.Background(), "orders")
 	is.True(err != nil)
-	current, _, err := server.Rollout(context.Background(), "orders")
+	current, _, err := server.LatestRollout(context.Background(), "orders")
 	is.NoErr(err)
 	is.Equal(current.Phase, rollout.Running)
 }
@@ -154,7 +154,7 @@
 	for deadline := time.Now().Add(5 * time.Second); granted == 0; time.Sleep(20 * time.Millisecond) {
 		is.True(time.Now().Before(deadline))
 		server.handleAnnounce(protocol.Announce{Rollouts: []protocol.RolloutReport{report("1", "v1", 1000), report("2", "v2", 0)}})
-		current, _, err = server.Rollout(context.Background(), "orders")
+		current, _, err = server.LatestRollout(context.Background(), "orders")
 		is.NoErr(err)
 		granted = rollout.Allowance(current, '2')
 	}
--- a/pkg/control/rollout_view.go
+++ b/pkg/control/rollout_view.go
@@ -13,8 +13,8 @@
 // summarize aggregates the nodes' reports of a rollout.
 func summarize(current rollout.Rollout, view rollout.View, reports map[string]nodeReport) operator.RolloutSeen {
 	observation := operator.RolloutSeen{Nodes: len(view.NodeStates), Gates: len(view.Gates)}
-	for _, holder := range view.NodeStates {
-		if holder.Confirmed {
+	for _, node := range view.NodeStates {
+		if node.Confirmed {
 			observation.NodesConfirmed++
 		}
 	}
--- a/pkg/control/server.go
+++ b/pkg/control/server.go
@@ -371,8 +371,8 @@
 }
 
 func (s *Server) serveConn(ctx context.Context, raw net.Conn) {
-	link := &metrics.Link{}
-	conn := wire.NewConn(raw, wire.DefaultMaxFrame, peerWriteTimeout, s.traffic.Observe(link))
+	role := &metrics.Link{}
+	conn := wire.NewConn(raw, wire.DefaultMaxFrame, peerWriteTimeout, s.traffic.Observe(role))
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
@@ -383,10 +383,10 @@
 	}
 	switch hello.Role {
 	case protocol.RoleReplica:
-		link.Set(metrics.LinkReplica)
+		role.Set(metrics.LinkReplica)
 		err = s.serveReplica(ctx, conn, hello)
 	case protocol.RoleRelay, protocol.RoleNode:
-		link.Set(metrics.LinkRelay)
+		role.Set(metrics.LinkRelay)
 		err = s.hub.Serve(ctx, conn, hello)
 	default:
 		err = protocol.Refuse(conn, protocol.Refusal{Reason: protocol.ReasonRole, Message: "unknown role"})
