--- a/pkg/proxy/gate.go
+++ b/pkg/proxy/gate.go
@@ -37,7 +37,7 @@
 	s.observer.registerBackend(s.admin.Registry, s.gate)
 	s.backendRegistry = registration.New(registration.Config{
 		Gate: s.gate, GateAddress: s.settings.GateAdvertise, Service: s.settings.Service,
-		Changed: func() { s.controlClient.PingSoon() }, OnChange: s.logBackend,
+		OnAnnouncement: func() { s.controlClient.PingSoon() }, OnStateChange: s.logBackend,
 	})
 	var err error
 	if s.gateListener, err = wire.Listen(s.settings.GateListen); err != nil {
@@ -75,7 +75,7 @@
 		h.Zone = s.settings.Zone
 	}
 	if s.backendRegistry != nil {
-		s.backendRegistry.Take(h)
+		s.backendRegistry.HandleHeartbeat(h)
 	}
 }
 
@@ -94,13 +94,13 @@
 // BackendLeft removes a back end that deregistered itself.
 func (s *Server) BackendLeft(id string) {
 	if s.backendRegistry != nil {
-		s.backendRegistry.Leave(id, time.Now())
+		s.backendRegistry.RecordDeparture(id, time.Now())
 	}
 }
 
 func (s *Server) logBackend(h registration.Heartbeat) {
 	states := map[registration.State]string{
-		registration.Ready: "ready", registration.Draining: "draining", registration.Gone: "gone",
+		registration.Ready: "ready", registration.Draining: "draining", registration.Departed: "gone",
 	}
 	s.logger.Log("event", "backend", "instance", h.ID, "state", states[h.State], "sequence", h.Sequence, "capacity", h.Capacity)
 }
@@ -109,7 +109,7 @@
 func (s *Server) announce() protocol.Announce {
 	announcement := protocol.Announce{Closed: s.closedGateReport()}
 	if s.backendRegistry != nil {
-		announcement.Endpoints = s.backendRegistry.Announcements()
+		announcement.Endpoints = s.backendRegistry.PendingAnnouncements()
 	}
 	if evidence := s.suspects.Pending(s.clock.Elapsed()); !evidence.Empty() {
 		announcement.Evidence = &evidence
--- a/pkg/proxy/proxy.go
+++ b/pkg/proxy/proxy.go
@@ -364,7 +364,7 @@
 	}
 	s.setColdBounds(table)
 	if s.backendRegistry != nil {
-		s.backendRegistry.Observe(state.Endpoints)
+		s.backendRegistry.ApplyState(state.Endpoints)
 	}
 	previousVersion := s.forwarder.Version()
 	s.forwarder.SetTable(table)
--- a/pkg/registration/registration.go
+++ b/pkg/registration/registration.go
@@ -22,8 +22,8 @@
 	Ready State = iota
 	// Draining back ends complete the calls in flight and accept no new ones.
 	Draining
-	// Gone back ends have left.
-	Gone
+	// Departed back ends have left.
+	Departed
 )
 
 // Heartbeat is one report of a back end about itself.
@@ -35,10 +35,10 @@
 	Capacity int
 	// Version is the version of the back end's software, empty if not reported.
 	Version string
-	// Cold is the remaining time in which the back end needs a reduced rate of calls (is cold), zero if it
+	// ColdRemaining is the remaining time in which the back end needs a reduced rate of calls (is cold), zero if it
 	// accepts its usual rate (is warm).
-	Cold  time.Duration
-	State State
+	ColdRemaining time.Duration
+	State         State
 	// Sequence increases with each heartbeat of an incarnation, so that late ones are recognized.
 	Sequence uint64
 	// Born is the start time of the back end, the zero time if not reported. Sequence restarts with it.
@@ -72,10 +72,10 @@
 	Service string
 	// GateAddress is the address at which other nodes reach the back end's gate.
 	GateAddress string
-	// Changed, if set, is called when Announcements has changed, so that the node can send them.
-	Changed func()
-	// OnChange, if set, is called with the heartbeat that caused the change, for logs.
-	OnChange func(Heartbeat)
+	// OnAnnouncement, if set, is called when PendingAnnouncements has changed, so that the node can send them.
+	OnAnnouncement func()
+	// OnStateChange, if set, is called with the heartbeat that caused the change, for logs.
+	OnStateChange func(Heartbeat)
 }
 
 // maxDeparted bounds the remembered incarnations that have left.
@@ -108,20 +108,20 @@
 	return &Registry{config: config, backends: map[string]*registeredBackend{}}
 }
 
-// Take updates the back end, its gate and the announcements from a heartbeat. It ignores heartbeats that
+// HandleHeartbeat updates the back end, its gate and the announcements from a heartbeat. It ignores heartbeats that
 // arrive out of order or belong to an earlier incarnation.
-func (r *Registry) Take(h Heartbeat) {
+func (r *Registry) HandleHeartbeat(h Heartbeat) {
 	r.mu.Lock()
 	changed := r.applyHeartbeat(h)
 	r.mu.Unlock()
 	if !changed {
 		return
 	}
-	if r.config.OnChange != nil {
-		r.config.OnChange(h)
+	if r.config.OnStateChange != nil {
+		r.config.OnStateChange(h)
 	}
-	if r.config.Changed != nil {
-		r.config.Changed()
+	if r.config.OnAnnouncement != nil {
+		r.config.OnAnnouncement()
 	}
 }
 
@@ -137,7 +137,7 @@
 		r.removeReplaced(h)
 		r.backends[h.ID] = &registeredBackend{heartbeat: h}
 		r.updateGate(h)
-		r.config.Gate.SetColdRemaining(h.ID, h.Cold)
+		r.config.Gate.SetColdRemaining(h.ID, h.ColdRemaining)
 		return true
 	}
 	if h.Sequence <= entry.heartbeat.Sequence {
@@ -150,41 +150,41 @@
 		entry.acknowledged = false
 		r.updateGate(h)
 	}
-	r.config.Gate.SetColdRemaining(h.ID, h.Cold)
+	r.config.Gate.SetColdRemaining(h.ID, h.ColdRemaining)
 	return changed
 }
 
-// Leave records that a back end left at a time. An unknown back end counts as started at that time, so that
+// RecordDeparture records that a back end left at a time. An unknown back end counts as started at that time, so that
 // heartbeats of incarnations that started earlier are ignored.
-func (r *Registry) Leave(id string, at time.Time) {
+func (r *Registry) RecordDeparture(id string, at time.Time) {
 	r.mu.Lock()
 	entry, found := r.backends[id]
 	if !found {
 		entry = &registeredBackend{heartbeat: Heartbeat{ID: id, Service: r.config.Service, Born: at}}
 		r.backends[id] = entry
 	}
-	alreadyGone := entry.heartbeat.State == Gone
-	entry.heartbeat.State = Gone
+	alreadyDeparted := entry.heartbeat.State == Departed
+	entry.heartbeat.State = Departed
 	entry.acknowledged = false
 	r.updateGate(entry.heartbeat)
 	r.recordDeparture(entry.heartbeat)
 	left := entry.heartbeat
 	r.mu.Unlock()
-	if alreadyGone {
+	if alreadyDeparted {
 		return
 	}
-	if r.config.OnChange != nil {
-		r.config.OnChange(left)
+	if r.config.OnStateChange != nil {
+		r.config.OnStateChange(left)
 	}
-	if r.config.Changed != nil {
-		r.config.Changed()
+	if r.config.OnAnnouncement != nil {
+		r.config.OnAnnouncement()
 	}
 }
 
 // removeReplaced removes back ends that crashed and were replaced by a new one at the same address.
 func (r *Registry) removeReplaced(h Heartbeat) {
 	for id, other := range r.backends {
-		if other.heartbeat.Address == h.Address && other.heartbeat.State != Gone {
+		if other.heartbeat.Address == h.Address && other.heartbeat.State != Departed {
 			delete(r.backends, id)
 			if id != h.ID {
 				r.recordDeparture(other.heartbeat)
@@ -215,8 +215,8 @@
 	r.config.Gate.RemoveBackend(h.ID)
 }
 
-// Announcements returns the back ends whose state the control plane hasn't acknowledged.
-func (r *Registry) Announcements() []distribution.Endpoint {
+// PendingAnnouncements returns the back ends whose state the control plane hasn't acknowledged.
+func (r *Registry) PendingAnnouncements() []distribution.Endpoint {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var all []distribution.Endpoint
@@ -229,16 +229,16 @@
 }
 
 func (r *Registry) endpoint(h Heartbeat) distribution.Endpoint {
-	states := map[State]distribution.EndpointState{Ready: distribution.Live, Draining: distribution.Leaving, Gone: distribution.Removed}
+	states := map[State]distribution.EndpointState{Ready: distribution.Live, Draining: distribution.Leaving, Departed: distribution.Removed}
 	return distribution.Endpoint{
 		Service: h.Service, ID: h.ID, Incarnation: h.incarnation(), Address: h.Address, Zone: h.Zone,
 		Gate: r.config.GateAddress, Capacity: h.Capacity, State: states[h.State], Version: h.Version,
 	}
 }
 
-// Observe marks back ends whose state the control plane's endpoints contain as acknowledged, and forgets
+// ApplyState marks back ends whose state the control plane's endpoints contain as acknowledged, and forgets
 // removed ones. If no back end is known and none has left, it restores those registered at this gate.
-func (r *Registry) Observe(table distribution.EndpointTable) {
+func (r *Registry) ApplyState(table distribution.EndpointTable) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for id, entry := range r.backends {
--- a/pkg/registration/registration_test.go
+++ b/pkg/registration/registration_test.go
@@ -38,35 +38,35 @@
 // committedEndpoints returns the control plane's endpoints after the announcements were committed.
 func committedEndpoints(r *Registry) distribution.EndpointTable {
 	state := &distribution.State{}
-	state = state.ChangeEndpoints(state.Endpoints.News(r.Announcements()))
+	state = state.ChangeEndpoints(state.Endpoints.News(r.PendingAnnouncements()))
 	return state.Endpoints
 }
 
 func TestHeartbeatsAreAnnouncedUntilAcknowledged(t *testing.T) {
 	is := is.New(t)
 	r, g := newRegistry()
-	r.Take(heartbeat("a", 1, Ready))
-	r.Take(heartbeat("a", 2, Ready))
+	r.HandleHeartbeat(heartbeat("a", 1, Ready))
+	r.HandleHeartbeat(heartbeat("a", 2, Ready))
 	is.Equal(g.updates, []string{"set a 6"}) // an unchanged heartbeat causes no update
-	is.Equal(len(r.Announcements()), 1)
-	is.Equal(r.Announcements()[0].Gate, "10.0.0.1:90")
-	r.Observe(committedEndpoints(r))
-	is.Equal(len(r.Announcements()), 0)
-	r.Take(heartbeat("a", 3, Draining))
-	is.Equal(r.Announcements()[0].State, distribution.Leaving)
+	is.Equal(len(r.PendingAnnouncements()), 1)
+	is.Equal(r.PendingAnnouncements()[0].Gate, "10.0.0.1:90")
+	r.ApplyState(committedEndpoints(r))
+	is.Equal(len(r.PendingAnnouncements()), 0)
+	r.HandleHeartbeat(heartbeat("a", 3, Draining))
+	is.Equal(r.PendingAnnouncements()[0].State, distribution.Leaving)
 }
 
 // A late heartbeat must not undo a newer state.
 func TestLateHeartbeatsChangeNothing(t *testing.T) {
 	is := is.New(t)
 	r, g := newRegistry()
-	r.Take(heartbeat("a", 5, Draining))
-	r.Take(heartbeat("a", 4, Ready))
-	r.Take(heartbeat("a", 6, Ready)) // the state of an incarnation only advances
-	is.Equal(r.Announcements()[0].State, distribution.Leaving)
-	r.Leave("a", time.Now())
-	r.Take(heartbeat("a", 7, Ready))
-	is.Equal(r.Announcements()[0].State, distribution.Removed)
+	r.HandleHeartbeat(heartbeat("a", 5, Draining))
+	r.HandleHeartbeat(heartbeat("a", 4, Ready))
+	r.HandleHeartbeat(heartbeat("a", 6, Ready)) // the state of an incarnation only advances
+	is.Equal(r.PendingAnnouncements()[0].State, distribution.Leaving)
+	r.RecordDeparture("a", time.Now())
+	r.HandleHeartbeat(heartbeat("a", 7, Ready))
+	is.Equal(r.PendingAnnouncements()[0].State, distribution.Removed)
 	for _, update := range g.updates {
 		is.Equal(update, "remove a")
 	}
@@ -76,15 +76,15 @@
 func TestNewBackEndReplacesCrashedOneAtItsAddress(t *testing.T) {
 	is := is.New(t)
 	r, g := newRegistry()
-	r.Take(heartbeat("a", 1, Ready))
-	r.Take(heartbeat("b", 1, Ready))
-	is.Equal(len(r.Announcements()), 1)
-	is.Equal(r.Announcements()[0].ID, "b")
-	r.Take(heartbeat("a", 2, Ready))
+	r.HandleHeartbeat(heartbeat("a", 1, Ready))
+	r.HandleHeartbeat(heartbeat("b", 1, Ready))
+	is.Equal(len(r.PendingAnnouncements()), 1)
+	is.Equal(r.PendingAnnouncements()[0].ID, "b")
+	r.HandleHeartbeat(heartbeat("a", 2, Ready))
 	is.Equal(g.updates, []string{"set a 6", "set b 6"})
 	table := (&distribution.State{}).ChangeEndpoints([]distribution.Endpoint{
 		{Service: "s", ID: "a", Incarnation: 1, Gate: "10.0.0.1:90"}}).Endpoints
-	changes := table.News(r.Announcements())
+	changes := table.News(r.PendingAnnouncements())
 	is.Equal(len(changes), 2) // b is added, a removed
 }
 
@@ -96,21 +96,21 @@
 		{Service: "s", ID: "a", Incarnation: 1, Address: "10.0.0.1:80", Gate: "10.0.0.1:90", Capacity: 6},
 		{Service: "s", ID: "z", Incarnation: 1, Address: "10.0.0.2:80", Gate: "10.0.0.2:90", Capacity: 6},
 	}).Endpoints
-	r.Observe(table)
+	r.ApplyState(table)
 	is.Equal(g.updates, []string{"set a 6"})
-	r.Leave("a", time.Now())
-	is.Equal(r.Announcements()[0].State, distribution.Removed)
-	r.Observe(table)
+	r.RecordDeparture("a", time.Now())
+	is.Equal(r.PendingAnnouncements()[0].State, distribution.Removed)
+	r.ApplyState(table)
 	is.Equal(g.updates, []string{"set a 6", "remove a"}) // not restored after it left
 }
 
 func TestUnknownBackEndThatLeavesIsAnnounced(t *testing.T) {
 	is := is.New(t)
 	r, _ := newRegistry()
-	r.Leave("x", time.Now())
-	is.Equal(r.Announcements()[0].State, distribution.Removed)
-	r.Observe(distribution.EndpointTable{})
-	is.Equal(len(r.Announcements()), 0)
+	r.RecordDeparture("x", time.Now())
+	is.Equal(r.PendingAnnouncements()[0].State, distribution.Removed)
+	r.ApplyState(distribution.EndpointTable{})
+	is.Equal(len(r.PendingAnnouncements()), 0)
 }
 
 // The gate must receive the remaining cold time of each heartbeat, except late ones.
@@ -119,8 +119,8 @@
 	r, g := newRegistry()
 	cold := func(sequence uint64, remaining time.Duration) {
 		h := heartbeat("a", sequence, Ready)
-		h.Cold = remaining
-		r.Take(h)
+		h.ColdRemaining = remaining
+		r.HandleHeartbeat(h)
 	}
 	cold(1, 2*time.Second)
 	cold(3, 500*time.Millisecond)
--- a/pkg/registration/restart_test.go
+++ b/pkg/registration/restart_test.go
@@ -24,33 +24,36 @@
 // incarnation.
 func TestRestartedBackEndIsAcceptedUnderItsID(t *testing.T) {
 	for name, intervene := range map[string]func(*Registry){
-		"after a crash":    func(*Registry) {},
-		"after a drain":    func(r *Registry) { r.Take(heartbeatStartedAt("a", firstStart, 501, Draining)) },
-		"after it left":    func(r *Registry) { r.Leave("a", firstStart.Add(time.Second)) },
-		"shown as removed": func(r *Registry) { r.Leave("a", firstStart.Add(time.Second)); r.Observe(committedEndpoints(r)) },
+		"after a crash": func(*Registry) {},
+		"after a drain": func(r *Registry) { r.HandleHeartbeat(heartbeatStartedAt("a", firstStart, 501, Draining)) },
+		"after it left": func(r *Registry) { r.RecordDeparture("a", firstStart.Add(time.Second)) },
+		"shown as removed": func(r *Registry) {
+			r.RecordDeparture("a", firstStart.Add(time.Second))
+			r.ApplyState(committedEndpoints(r))
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			r, g := newRegistry()
-			r.Take(heartbeatStartedAt("a", firstStart, 500, Ready))
+			r.HandleHeartbeat(heartbeatStartedAt("a", firstStart, 500, Ready))
 			table := committedEndpoints(r)
-			r.Observe(table)
+			r.ApplyState(table)
 			intervene(r)
-			r.Take(heartbeatStartedAt("a", secondStart, 3, Ready))
+			r.HandleHeartbeat(heartbeatStartedAt("a", secondStart, 3, Ready))
 			is.Equal(g.updates[len(g.updates)-1], "set a 6")
 			is.True(len(g.updates) >= 2)
-			announced := r.Announcements()
+			announced := r.PendingAnnouncements()
 			is.Equal(len(announced), 1)
 			is.Equal(announced[0].State, distribution.Live)
 			state := (&distribution.State{Endpoints: table}).ChangeEndpoints(announced)
 			is.Equal(state.Endpoints["s"]["a"].Incarnation, uint64(secondStart.UnixMilli())) // it supersedes the earlier incarnation
-			r.Observe(state.Endpoints)
-			is.Equal(len(r.Announcements()), 0)
-			r.Take(heartbeatStartedAt("a", firstStart, 600, Draining)) // late, from the earlier incarnation
-			r.Take(heartbeatStartedAt("a", secondStart, 2, Draining))  // late, from this incarnation
-			is.Equal(len(r.Announcements()), 0)
-			r.Take(heartbeatStartedAt("a", secondStart, 4, Draining))
-			is.Equal(r.Announcements()[0].State, distribution.Leaving)
+			r.ApplyState(state.Endpoints)
+			is.Equal(len(r.PendingAnnouncements()), 0)
+			r.HandleHeartbeat(heartbeatStartedAt("a", firstStart, 600, Draining)) // late, from the earlier incarnation
+			r.HandleHeartbeat(heartbeatStartedAt("a", secondStart, 2, Draining))  // late, from this incarnation
+			is.Equal(len(r.PendingAnnouncements()), 0)
+			r.HandleHeartbeat(heartbeatStartedAt("a", secondStart, 4, Draining))
+			is.Equal(r.PendingAnnouncements()[0].State, distribution.Leaving)
 		})
 	}
 }
@@ -59,10 +62,10 @@
 func TestDepartedIncarnationStaysGone(t *testing.T) {
 	is := is.New(t)
 	r, g := newRegistry()
-	r.Leave("a", firstStart.Add(time.Second))
-	r.Take(heartbeatStartedAt("a", firstStart, 9, Ready))
+	r.RecordDeparture("a", firstStart.Add(time.Second))
+	r.HandleHeartbeat(heartbeatStartedAt("a", firstStart, 9, Ready))
 	is.Equal(g.updates, []string{"remove a"})
-	r.Take(heartbeatStartedAt("a", secondStart, 1, Ready))
+	r.HandleHeartbeat(heartbeatStartedAt("a", secondStart, 1, Ready))
 	is.Equal(g.updates, []string{"remove a", "set a 6"})
 }
 
@@ -70,12 +73,12 @@
 func TestRestartedNodeRestoresTheIncarnation(t *testing.T) {
 	is := is.New(t)
 	r, _ := newRegistry()
-	r.Take(heartbeatStartedAt("a", secondStart, 1, Ready))
+	r.HandleHeartbeat(heartbeatStartedAt("a", secondStart, 1, Ready))
 	restarted, g := newRegistry()
-	restarted.Observe(committedEndpoints(r))
+	restarted.ApplyState(committedEndpoints(r))
 	is.Equal(g.updates, []string{"set a 6"})
-	restarted.Take(heartbeatStartedAt("a", firstStart, 800, Draining))
-	restarted.Take(heartbeatStartedAt("a", secondStart, 2, Ready))
+	restarted.HandleHeartbeat(heartbeatStartedAt("a", firstStart, 800, Draining))
+	restarted.HandleHeartbeat(heartbeatStartedAt("a", secondStart, 2, Ready))
 	is.Equal(g.updates, []string{"set a 6"})
-	is.Equal(len(restarted.Announcements()), 0)
+	is.Equal(len(restarted.PendingAnnouncements()), 0)
 }
