--- a/pkg/ctl/status.go
+++ b/pkg/ctl/status.go
@@ -74,7 +74,7 @@
 		return nil, err
 	}
 	newest := map[string]operator.Node{}
-	_, err := s.client.Each(s.context, operator.PathNodes, func(response []byte) error {
+	_, err := s.client.QueryAll(s.context, operator.PathNodes, func(response []byte) error {
 		var nodes []operator.Node
 		if err := json.Unmarshal(response, &nodes); err != nil {
 			return fmt.Errorf("decode nodes: %w", err)
--- a/pkg/operator/client.go
+++ b/pkg/operator/client.go
@@ -71,9 +71,9 @@
 	}
 }
 
-// Each sends a GET request to every replica once and passes each response to handle. It returns the number
+// QueryAll sends a GET request to every replica once and passes each response to handle. It returns the number
 // of responses, and the last error if there were none.
-func (c *Client) Each(ctx context.Context, path string, handle func(response []byte) error) (int, error) {
+func (c *Client) QueryAll(ctx context.Context, path string, handle func(response []byte) error) (int, error) {
 	responses := 0
 	var lastErr error
 	for _, address := range c.addresses {
