--- a/pkg/catalog/command.go
+++ b/pkg/catalog/command.go
@@ -132,8 +132,8 @@
 	CodeInvalidApproval Code = "invalid-approval"
 	// CodeInvalidRequest: the request is malformed.
 	CodeInvalidRequest Code = "invalid-request"
-	// CodeSource: the configuration source could not be fetched.
-	CodeSource Code = "source-unavailable"
+	// CodeSourceUnavailable: the configuration source could not be fetched.
+	CodeSourceUnavailable Code = "source-unavailable"
 	// CodeUnavailable: the request cannot be served at present, for example without a leader or during
 	// an upgrade; retry later.
 	CodeUnavailable Code = "unavailable"
--- a/pkg/catalog/level.go
+++ b/pkg/catalog/level.go
@@ -61,10 +61,10 @@
 	return service.HealthPath != "" || service.ColdStart != 0 || service.ColdRate != 0
 }
 
-// WithoutHints returns the content without those fields above the level that calls can be served without:
+// WithoutOptionalFields returns the content without those fields above the level that calls can be served without:
 // health paths and the limits of cold back ends. Fields that calls must not be served without, such as
 // a route's regions and kind, are kept, and the result may still require a higher level.
-func WithoutHints(content bundle.Content, level Level) bundle.Content {
+func WithoutOptionalFields(content bundle.Content, level Level) bundle.Content {
 	if level >= LevelOrders || !slices.ContainsFunc(content.Services, usesHealthOrColdStart) {
 		return content
 	}
--- a/pkg/catalog/orders_test.go
+++ b/pkg/catalog/orders_test.go
@@ -64,10 +64,10 @@
 	is.Equal(Command{Suspects: &quarantine.Change{}}.Level(), LevelSuspects)
 	is.Equal(Command{Endpoints: &Endpoints{}}.Level(), LevelBase)
 
-	is.Equal(WithoutHints(withHealthPath, LevelSuspects), plain)
+	is.Equal(WithoutOptionalFields(withHealthPath, LevelSuspects), plain)
 	is.Equal(withHealthPath.Services[0].HealthPath, "/healthz") // the argument is not modified
-	is.Equal(WithoutHints(withHealthPath, LevelOrders), withHealthPath)
-	is.Equal(WithoutHints(withRegions, LevelSuspects), withRegions) // calls must not be served without them
+	is.Equal(WithoutOptionalFields(withHealthPath, LevelOrders), withHealthPath)
+	is.Equal(WithoutOptionalFields(withRegions, LevelSuspects), withRegions) // calls must not be served without them
 }
 
 // A content field must not be added without a level: replicas of an earlier release would drop it and
--- a/pkg/control/operator.go
+++ b/pkg/control/operator.go
@@ -62,23 +62,23 @@
 }
 
 var httpStatusByCode = map[catalog.Code]int{
-	catalog.CodeConflict:        http.StatusConflict,
-	catalog.CodeOperationReused: http.StatusConflict,
-	catalog.CodeUnknownVersion:  http.StatusNotFound,
-	catalog.CodeUnknownSuspect:  http.StatusNotFound,
-	catalog.CodeUnknownZone:     http.StatusNotFound,
-	catalog.CodeUnknownService:  http.StatusNotFound,
-	catalog.CodeNothingToDo:     http.StatusUnprocessableEntity,
-	catalog.CodeRolloutConflict: http.StatusConflict,
-	catalog.CodeNoRollout:       http.StatusConflict,
-	catalog.CodeNotApproved:     http.StatusConflict,
-	catalog.CodeSuperseded:      http.StatusConflict,
-	catalog.CodeInvalidBundle:   http.StatusUnprocessableEntity,
-	catalog.CodeInvalidApproval: http.StatusUnprocessableEntity,
-	catalog.CodeInvalidRequest:  http.StatusBadRequest,
-	catalog.CodeSource:          http.StatusBadGateway,
-	catalog.CodeUnavailable:     http.StatusServiceUnavailable,
-	catalog.CodeUnknownOutcome:  http.StatusGatewayTimeout,
+	catalog.CodeConflict:          http.StatusConflict,
+	catalog.CodeOperationReused:   http.StatusConflict,
+	catalog.CodeUnknownVersion:    http.StatusNotFound,
+	catalog.CodeUnknownSuspect:    http.StatusNotFound,
+	catalog.CodeUnknownZone:       http.StatusNotFound,
+	catalog.CodeUnknownService:    http.StatusNotFound,
+	catalog.CodeNothingToDo:       http.StatusUnprocessableEntity,
+	catalog.CodeRolloutConflict:   http.StatusConflict,
+	catalog.CodeNoRollout:         http.StatusConflict,
+	catalog.CodeNotApproved:       http.StatusConflict,
+	catalog.CodeSuperseded:        http.StatusConflict,
+	catalog.CodeInvalidBundle:     http.StatusUnprocessableEntity,
+	catalog.CodeInvalidApproval:   http.StatusUnprocessableEntity,
+	catalog.CodeInvalidRequest:    http.StatusBadRequest,
+	catalog.CodeSourceUnavailable: http.StatusBadGateway,
+	catalog.CodeUnavailable:       http.StatusServiceUnavailable,
+	catalog.CodeUnknownOutcome:    http.StatusGatewayTimeout,
 }
 
 // writeResponse writes value as JSON, or err as an operation error with its HTTP status.
@@ -255,7 +255,7 @@
 // fetchSource downloads a bundle from the configuration source. Only the leader does so.
 func (s *Server) fetchSource(ctx context.Context, name string) (bundle.Content, error) {
 	if s.settings.SourceURL == "" {
-		return bundle.Content{}, newOperationError(catalog.CodeSource, "no configuration source is set")
+		return bundle.Content{}, newOperationError(catalog.CodeSourceUnavailable, "no configuration source is set")
 	}
 	if err := s.readWithLease(ctx, func(time.Duration) {}); err != nil {
 		return bundle.Content{}, err
@@ -265,16 +265,16 @@
 	address := s.settings.SourceURL + "/" + url.PathEscape(name)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
 	if err != nil {
-		return bundle.Content{}, newOperationError(catalog.CodeSource, "%v", err)
+		return bundle.Content{}, newOperationError(catalog.CodeSourceUnavailable, "%v", err)
 	}
 	response, err := s.http.Do(request)
 	if err != nil {
-		return bundle.Content{}, newOperationError(catalog.CodeSource, "%v", err)
+		return bundle.Content{}, newOperationError(catalog.CodeSourceUnavailable, "%v", err)
 	}
 	defer response.Body.Close()
 	text, err := io.ReadAll(io.LimitReader(response.Body, bundle.MaxFileBytes+1))
 	if err != nil || response.StatusCode != http.StatusOK {
-		return bundle.Content{}, newOperationError(catalog.CodeSource, "%s: status %s: %v", address, response.Status, err)
+		return bundle.Content{}, newOperationError(catalog.CodeSourceUnavailable, "%s: status %s: %v", address, response.Status, err)
 	}
 	return parseContent(address, text)
 }
--- a/pkg/control/publish.go
+++ b/pkg/control/publish.go
@@ -52,7 +52,7 @@
 	if decided != nil {
 		return errorOrNil(decided.Error)
 	}
-	content = catalog.WithoutHints(content, level)
+	content = catalog.WithoutOptionalFields(content, level)
 	tree, err := bundle.NewTree(content)
 	if err != nil {
 		return fmt.Errorf("compute bundle digest: %w", err)
