--- a/pkg/control/announce.go
+++ b/pkg/control/announce.go
@@ -114,7 +114,7 @@
 	err := s.runOnLoop(ctx, func(now time.Duration) {
 		node := s.replica.Node()
 		leading = node.LeaseValid(now)
-		changes = s.replica.State().Endpoints.News(endpoints)
+		changes = s.replica.State().Endpoints.ChangesFrom(endpoints)
 		if !leading && node.Leader() != node.ID() && len(changes) > 0 {
 			s.peers.announce(node.Leader(), protocol.Announce{Endpoints: changes})
 		}
--- a/pkg/distribution/distribution_test.go
+++ b/pkg/distribution/distribution_test.go
@@ -160,7 +160,7 @@
 		want    error
 	}{
 		"gap":             {func(u *Update) { u.From += 10; u.To += 10 }, ErrRevisionGap},
-		"older version":   {func(u *Update) { u.Active = 0 }, ErrOlder},
+		"older version":   {func(u *Update) { u.Active = 0 }, ErrOlderVersion},
 		"missing bundle":  {func(u *Update) { u.Bundles = nil }, ErrMissingBundle},
 		"unknown base":    {func(u *Update) { u.Bundles[0].Base = 77 }, ErrMissingBundle},
 		"changed content": {func(u *Update) { u.Bundles[0].Delta.HandBack = true }, bundle.ErrDigest},
--- a/pkg/distribution/endpoint.go
+++ b/pkg/distribution/endpoint.go
@@ -136,9 +136,9 @@
 	return clone
 }
 
-// News returns the changes that announced endpoints make to the table. Because a gate has one back
+// ChangesFrom returns the changes that announced endpoints make to the table. Because a gate has one back
 // end, and a crashed one cannot announce its removal, a live endpoint removes all others at its gate.
-func (t EndpointTable) News(announced []Endpoint) []Endpoint {
+func (t EndpointTable) ChangesFrom(announced []Endpoint) []Endpoint {
 	var changes []Endpoint
 	for _, endpoint := range announced {
 		current, found := t[endpoint.Service][endpoint.ID]
--- a/pkg/distribution/holder.go
+++ b/pkg/distribution/holder.go
@@ -11,8 +11,8 @@
 var (
 	// ErrRevisionGap: the update starts after the held revision. The holder must subscribe again.
 	ErrRevisionGap = errors.New("update starts after the held revision")
-	// ErrOlder: the active version of the update is older than the held one.
-	ErrOlder = errors.New("active version of the update is older than the held one")
+	// ErrOlderVersion: the active version of the update is older than the held one.
+	ErrOlderVersion = errors.New("active version of the update is older than the held one")
 	// ErrMissingBundle: the update refers to a bundle that is neither in the update nor held.
 	ErrMissingBundle = errors.New("update refers to a missing bundle")
 	// ErrEndpointDigest: the endpoints after the update do not have the expected digest.
@@ -46,9 +46,9 @@
 // State returns the held state, which is never nil.
 func (h *Holder) State() *State { return h.state }
 
-// Current advances the held revision; nothing in the holder's scope changed up to it. A lower revision
+// AdvanceTo advances the held revision; nothing in the holder's scope changed up to it. A lower revision
 // is ignored.
-func (h *Holder) Current(revision uint64) {
+func (h *Holder) AdvanceTo(revision uint64) {
 	if revision <= h.state.Revision {
 		return
 	}
@@ -67,7 +67,7 @@
 		return fmt.Errorf("update from %d to %d, held %d: %w", u.From, u.To, h.state.Revision, ErrRevisionGap)
 	}
 	if u.Active < versionOf(h.state.Active) {
-		return fmt.Errorf("update to version %d, held %d: %w", u.Active, versionOf(h.state.Active), ErrOlder)
+		return fmt.Errorf("update to version %d, held %d: %w", u.Active, versionOf(h.state.Active), ErrOlderVersion)
 	}
 	next, err := h.buildState(u)
 	if err != nil {
--- a/pkg/distribution/watchlist_test.go
+++ b/pkg/distribution/watchlist_test.go
@@ -29,7 +29,7 @@
 				update, err := NewPlanner(state).Plan(group, position)
 				is.NoErr(err)
 				if update == nil || !update.Changes(position) {
-					holder.Current(state.Revision)
+					holder.AdvanceTo(state.Revision)
 					return nil
 				}
 				is.NoErr(holder.Apply(update))
--- a/pkg/proxy/keeper.go
+++ b/pkg/proxy/keeper.go
@@ -120,7 +120,7 @@
 func (k *Keeper) Current(revision uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.holder.Current(revision)
+	k.holder.AdvanceTo(revision)
 }
 
 // Confirmed makes the state servable after a server has confirmed it as current since the
--- a/pkg/proxy/keeper_test.go
+++ b/pkg/proxy/keeper_test.go
@@ -74,7 +74,7 @@
 	is.Equal(*inForce, []uint64{3}) // the saved configuration is active without a connection
 	older := fullUpdate(t, 2)
 	older.To = 99 // a relay with a wrong revision
-	is.True(errors.Is(restarted.Apply(older), distribution.ErrOlder))
+	is.True(errors.Is(restarted.Apply(older), distribution.ErrOlderVersion))
 	is.Equal(*inForce, []uint64{3})
 
 	is.NoErr(os.WriteFile(filepath.Join(folder, stateFile), []byte("{half"), 0o600))
--- a/pkg/registration/registration_test.go
+++ b/pkg/registration/registration_test.go
@@ -38,7 +38,7 @@
 // committedEndpoints returns the control plane's endpoints after the announcements were committed.
 func committedEndpoints(r *Registry) distribution.EndpointTable {
 	state := &distribution.State{}
-	state = state.ChangeEndpoints(state.Endpoints.News(r.PendingAnnouncements()))
+	state = state.ChangeEndpoints(state.Endpoints.ChangesFrom(r.PendingAnnouncements()))
 	return state.Endpoints
 }
 
@@ -84,7 +84,7 @@
 	is.Equal(g.updates, []string{"set a 6", "set b 6"})
 	table := (&distribution.State{}).ChangeEndpoints([]distribution.Endpoint{
 		{Service: "s", ID: "a", Incarnation: 1, Gate: "10.0.0.1:90"}}).Endpoints
-	changes := table.News(r.PendingAnnouncements())
+	changes := table.ChangesFrom(r.PendingAnnouncements())
 	is.Equal(len(changes), 2) // b is added, a removed
 }
 
--- a/pkg/relay/relay.go
+++ b/pkg/relay/relay.go
@@ -160,7 +160,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if revision > s.holder.State().Revision {
-		s.holder.Current(revision)
+		s.holder.AdvanceTo(revision)
 		s.hub.SetState(s.holder.State())
 	}
 }
--- a/pkg/sim/relay.go
+++ b/pkg/sim/relay.go
@@ -70,7 +70,7 @@
 // Current implements stream.Target.
 func (r *relay) Current(revision uint64) {
 	if revision > r.holder.State().Revision {
-		r.holder.Current(revision)
+		r.holder.AdvanceTo(revision)
 		r.server.setState(r.holder.State())
 	}
 }
