--- a/pkg/bundle/bundle_test.go
+++ b/pkg/bundle/bundle_test.go
@@ -117,7 +117,7 @@
 	is.Equal(len(scoped.Routes), 1)
 	is.Equal(len(scoped.Services), 1)
 	is.Equal(len(scoped.Secrets), 0) // only a route of another group uses the secret
-	is.NoErr(scoped.Consistent())
+	is.NoErr(scoped.CheckReferences())
 }
 
 func TestApplyingDiffYieldsNextContent(t *testing.T) {
@@ -219,7 +219,7 @@
 			if !found || proof.Check(group, scoped, tree.Root()) != nil {
 				t.Fatalf("scope %q has no valid proof", group)
 			}
-			if err := scoped.Consistent(); err != nil {
+			if err := scoped.CheckReferences(); err != nil {
 				t.Fatalf("scope %q has a missing reference: %v", group, err)
 			}
 		}
--- a/pkg/bundle/validate.go
+++ b/pkg/bundle/validate.go
@@ -99,9 +99,9 @@
 	}
 }
 
-// Consistent checks that all services and secrets that routes refer to exist in the content. Holders
+// CheckReferences checks that all services and secrets that routes refer to exist in the content. Holders
 // call it before they activate a content. The error is a *ValidationError.
-func (c Content) Consistent() error {
+func (c Content) CheckReferences() error {
 	v := &validator{}
 	for _, route := range c.Routes {
 		v.checkReferences(c, route)
--- a/pkg/distribution/distribution_test.go
+++ b/pkg/distribution/distribution_test.go
@@ -129,7 +129,7 @@
 			t.Fatalf("%s holds zone %s with evacuated=%t", group, zone, held.Orders.Evacuated(zone))
 		}
 	}
-	if held.Active != nil && held.Active.Content.Consistent() != nil {
+	if held.Active != nil && held.Active.Content.CheckReferences() != nil {
 		t.Fatalf("%s holds a route with a missing reference", group)
 	}
 	needed := neededServices(contentOf(held.Active), contentOf(held.Staged))
--- a/pkg/distribution/holder.go
+++ b/pkg/distribution/holder.go
@@ -91,7 +91,7 @@
 		return nil, err
 	}
 	if next.Active != nil {
-		if err := next.Active.Content.Consistent(); err != nil {
+		if err := next.Active.Content.CheckReferences(); err != nil {
 			return nil, err
 		}
 	}
