--- a/pkg/bench/baseline/baseline.go
+++ b/pkg/bench/baseline/baseline.go
@@ -218,7 +218,7 @@
 	// Phase is the delay before the first poll; it spreads the polls of many nodes.
 	Phase time.Duration
 	Tally *tally.Tally
-	// InForce is called with each received snapshot, converted to a state.
+	// OnActivate is called with each received snapshot, converted to a state.
 	InForce func(node string, state *distribution.State)
 }
 
--- a/pkg/bench/convergence/recorder.go
+++ b/pkg/bench/convergence/recorder.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// InForce records that a node has put a state in force.
+// OnActivate records that a node has put a state in force.
 func (r *Recorder) InForce(node string, state *distribution.State) {
 	now := time.Now()
 	r.mu.Lock()
--- a/pkg/bench/hollow/node.go
+++ b/pkg/bench/hollow/node.go
@@ -29,7 +29,7 @@
 	Relays   []settings.Peer
 	// Timing has the same meaning as in the settings of a real node.
 	Timing settings.Timing
-	// InForce is called with each state that a node puts in force.
+	// OnActivate is called with each state that a node puts in force.
 	InForce func(node string, state *distribution.State)
 }
 
@@ -63,8 +63,8 @@
 // Start runs the node in the background until Stop.
 func (n *Node) Start() error {
 	runClock := clock.New()
-	keeper, err := proxy.NewKeeper(proxy.KeeperConfig{
-		Group: n.Group, Verifier: n.config.Verifier, InForce: n.recordState,
+	keeper, err := proxy.NewConfigStore(proxy.StoreConfig{
+		Group: n.Group, Verifier: n.config.Verifier, OnActivate: n.recordState,
 		OnFailure: func(error) {},
 	})
 	if err != nil {
--- a/pkg/proxy/keeper.go
+++ b/pkg/proxy/config_store.go
@@ -23,24 +23,24 @@
 	Level catalog.Level `json:"level"`
 }
 
-// KeeperConfig configures a Keeper.
-type KeeperConfig struct {
+// StoreConfig configures a ConfigStore.
+type StoreConfig struct {
 	// Files is where the configuration is saved; with nil it is only held in memory.
 	Files storage.FileSystem
 	Group string
 	// Verifier checks the approval of each version.
 	Verifier distribution.ApprovalVerifier
-	// InForce is called with each state that the node must serve calls with.
-	InForce func(*distribution.State)
+	// OnActivate is called with each state that the node must serve calls with.
+	OnActivate func(*distribution.State)
 	// OnFailure is called when a state cannot be saved. The process must exit then, since a later
 	// restart could load an older version than the one served.
 	OnFailure func(error)
 }
 
-// Keeper holds the node's configuration. It saves each new state before it activates it
-// through InForce. It implements stream.Target and is safe for concurrent use.
-type Keeper struct {
-	config KeeperConfig
+// ConfigStore holds the node's configuration. It saves each new state before it activates it
+// through OnActivate. It implements stream.Target and is safe for concurrent use.
+type ConfigStore struct {
+	config StoreConfig
 
 	mu     sync.Mutex
 	holder *distribution.Holder
@@ -48,24 +48,24 @@
 	servable bool
 }
 
-// NewKeeper returns a keeper with the configuration saved in config.Files, if there is one. It
+// NewConfigStore returns a store with the configuration saved in config.Files, if there is one. It
 // fails if the saved state cannot be read.
-func NewKeeper(config KeeperConfig) (*Keeper, error) {
-	k := &Keeper{config: config}
-	state, err := k.load()
+func NewConfigStore(config StoreConfig) (*ConfigStore, error) {
+	s := &ConfigStore{config: config}
+	state, err := s.load()
 	if err != nil {
 		return nil, err
 	}
-	k.servable = state != nil && state.Active != nil
-	k.holder = distribution.NewHolder(config.Group, config.Verifier, state)
-	return k, nil
+	s.servable = state != nil && state.Active != nil
+	s.holder = distribution.NewHolder(config.Group, config.Verifier, state)
+	return s, nil
 }
 
-func (k *Keeper) load() (*distribution.State, error) {
-	if k.config.Files == nil {
+func (s *ConfigStore) load() (*distribution.State, error) {
+	if s.config.Files == nil {
 		return nil, nil
 	}
-	content, err := k.config.Files.ReadFile(stateFile)
+	content, err := s.config.Files.ReadFile(stateFile)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
@@ -83,84 +83,84 @@
 }
 
 // Start activates a configuration that was loaded from disk.
-func (k *Keeper) Start() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.activate()
+func (s *ConfigStore) Start() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.activate()
 }
 
 // Position returns the revision and versions held, and implements stream.Target.
-func (k *Keeper) Position() distribution.Position {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.holder.State().Position()
+func (s *ConfigStore) Position() distribution.Position {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.holder.State().Position()
 }
 
 // Apply verifies, saves and activates an update, and implements stream.Target.
-func (k *Keeper) Apply(update *distribution.Update) error {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	previous := k.holder.State()
-	if err := k.holder.Apply(update); err != nil {
+func (s *ConfigStore) Apply(update *distribution.Update) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	previous := s.holder.State()
+	if err := s.holder.Apply(update); err != nil {
 		return err
 	}
-	if k.holder.State() == previous {
+	if s.holder.State() == previous {
 		return nil
 	}
-	if err := k.save(); err != nil {
-		k.config.OnFailure(err)
+	if err := s.save(); err != nil {
+		s.config.OnFailure(err)
 		return err
 	}
-	k.activate()
+	s.activate()
 	return nil
 }
 
 // Current advances the held revision and implements stream.Target. It saves nothing: resuming
 // from a lower revision after a restart only makes the next update larger.
-func (k *Keeper) Current(revision uint64) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.holder.AdvanceTo(revision)
+func (s *ConfigStore) Current(revision uint64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.holder.AdvanceTo(revision)
 }
 
 // Confirmed makes the state servable after a server has confirmed it as current since the
 // process started: it is no older than what an earlier process run served.
-func (k *Keeper) Confirmed(time.Duration) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.servable {
+func (s *ConfigStore) Confirmed(time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.servable {
 		return
 	}
-	k.servable = true
-	k.activate()
+	s.servable = true
+	s.activate()
 }
 
 // Serving reports whether a configuration is in force.
-func (k *Keeper) Serving() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.servable && k.holder.State().Active != nil
+func (s *ConfigStore) Serving() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.servable && s.holder.State().Active != nil
 }
 
-func (k *Keeper) save() error {
-	if k.config.Files == nil {
+func (s *ConfigStore) save() error {
+	if s.config.Files == nil {
 		return nil
 	}
-	content, err := json.Marshal(savedState{State: *k.holder.State(), Level: catalog.NewestLevel})
+	content, err := json.Marshal(savedState{State: *s.holder.State(), Level: catalog.NewestLevel})
 	if err != nil {
 		return fmt.Errorf("save configuration: %w", err)
 	}
-	if err := storage.WriteFileAtomic(k.config.Files, stateFile, content); err != nil {
+	if err := storage.WriteFileAtomic(s.config.Files, stateFile, content); err != nil {
 		return fmt.Errorf("save configuration: %w", err)
 	}
 	return nil
 }
 
-// activate passes the held state to InForce if it may be served. The caller holds k.mu.
-func (k *Keeper) activate() {
-	state := k.holder.State()
-	if !k.servable || state.Active == nil {
+// activate passes the held state to OnActivate if it may be served. The caller holds s.mu.
+func (s *ConfigStore) activate() {
+	state := s.holder.State()
+	if !s.servable || state.Active == nil {
 		return
 	}
-	k.config.InForce(state)
+	s.config.OnActivate(state)
 }
--- a/pkg/proxy/keeper_test.go
+++ b/pkg/proxy/config_store_test.go
@@ -32,32 +32,32 @@
 	return update
 }
 
-// startKeeper returns a started keeper, the versions that it has activated and its save error.
-func startKeeper(t *testing.T, files storage.FileSystem) (*Keeper, *[]uint64, *error) {
+// startStore returns a started store, the versions that it has activated and its save error.
+func startStore(t *testing.T, files storage.FileSystem) (*ConfigStore, *[]uint64, *error) {
 	t.Helper()
-	var inForce []uint64
+	var activated []uint64
 	var failure error
-	k, err := NewKeeper(KeeperConfig{
+	s, err := NewConfigStore(StoreConfig{
 		Files: files, Group: "shop", Verifier: acceptAllVerifier{},
-		InForce:   func(state *distribution.State) { inForce = append(inForce, state.Active.Manifest.Version) },
-		OnFailure: func(err error) { failure = err },
+		OnActivate: func(state *distribution.State) { activated = append(activated, state.Active.Manifest.Version) },
+		OnFailure:  func(err error) { failure = err },
 	})
 	is.New(t).NoErr(err)
-	k.Start()
-	return k, &inForce, &failure
+	s.Start()
+	return s, &activated, &failure
 }
 
 // A node without a disk must not serve a version that may be older than one that it served
 // before a restart.
 func TestNodeWithoutDiskServesOnlyConfirmedConfiguration(t *testing.T) {
 	is := is.New(t)
-	k, inForce, _ := startKeeper(t, nil)
-	is.NoErr(k.Apply(fullUpdate(t, 3)))
-	is.Equal(len(*inForce), 0)
-	is.True(!k.Serving())
-	k.Confirmed(time.Second)
-	is.Equal(*inForce, []uint64{3})
-	is.True(k.Serving())
+	s, activated, _ := startStore(t, nil)
+	is.NoErr(s.Apply(fullUpdate(t, 3)))
+	is.Equal(len(*activated), 0)
+	is.True(!s.Serving())
+	s.Confirmed(time.Second)
+	is.Equal(*activated, []uint64{3})
+	is.True(s.Serving())
 }
 
 func TestNodeWithDiskServesSavedConfigurationAtStart(t *testing.T) {
@@ -65,38 +65,38 @@
 	folder := filepath.Join(t.TempDir(), "data")
 	files, err := storage.OpenDir(folder)
 	is.NoErr(err)
-	k, inForce, _ := startKeeper(t, files)
-	is.NoErr(k.Apply(fullUpdate(t, 3)))
-	k.Confirmed(time.Second)
-	is.Equal(*inForce, []uint64{3})
+	s, activated, _ := startStore(t, files)
+	is.NoErr(s.Apply(fullUpdate(t, 3)))
+	s.Confirmed(time.Second)
+	is.Equal(*activated, []uint64{3})
 
-	restarted, inForce, _ := startKeeper(t, files)
-	is.Equal(*inForce, []uint64{3}) // the saved configuration is active without a connection
+	restarted, activated, _ := startStore(t, files)
+	is.Equal(*activated, []uint64{3}) // the saved configuration is active without a connection
 	older := fullUpdate(t, 2)
 	older.To = 99 // a relay with a wrong revision
 	is.True(errors.Is(restarted.Apply(older), distribution.ErrOlderVersion))
-	is.Equal(*inForce, []uint64{3})
+	is.Equal(*activated, []uint64{3})
 
 	is.NoErr(os.WriteFile(filepath.Join(folder, stateFile), []byte("{half"), 0o600))
-	_, err = NewKeeper(KeeperConfig{Files: files, Group: "shop", Verifier: acceptAllVerifier{}})
+	_, err = NewConfigStore(StoreConfig{Files: files, Group: "shop", Verifier: acceptAllVerifier{}})
 	is.True(err != nil) // a damaged file is an error, not a first start
 }
 
-// failingSyncFolder fails every sync of the folder.
-type failingSyncFolder struct{ *storage.Dir }
+// failingSyncDir fails every sync of the folder.
+type failingSyncDir struct{ *storage.Dir }
 
 var errSync = errors.New("sync failed")
 
-func (failingSyncFolder) SyncDir() error { return errSync }
+func (failingSyncDir) SyncDir() error { return errSync }
 
 func TestUnsavedConfigurationIsNotServed(t *testing.T) {
 	is := is.New(t)
 	folder, err := storage.OpenDir(filepath.Join(t.TempDir(), "data"))
 	is.NoErr(err)
-	k, inForce, failure := startKeeper(t, failingSyncFolder{folder})
-	k.Confirmed(time.Second)
-	is.True(errors.Is(k.Apply(fullUpdate(t, 1)), errSync))
-	is.Equal(len(*inForce), 0)
+	s, activated, failure := startStore(t, failingSyncDir{folder})
+	s.Confirmed(time.Second)
+	is.True(errors.Is(s.Apply(fullUpdate(t, 1)), errSync))
+	is.Equal(len(*activated), 0)
 	is.True(errors.Is(*failure, errSync)) // the process must exit
 }
 
@@ -114,15 +114,15 @@
 	is.NoErr(err)
 	is.NoErr(os.WriteFile(filepath.Join(folder, stateFile), saved, 0o600))
 
-	k, inForce, _ := startKeeper(t, files)
-	is.Equal(*inForce, []uint64{1}) // the saved configuration is active without a connection
-	update, err := distribution.NewPlanner(controlState).Plan("shop", k.Position())
+	s, activated, _ := startStore(t, files)
+	is.Equal(*activated, []uint64{1}) // the saved configuration is active without a connection
+	update, err := distribution.NewPlanner(controlState).Plan("shop", s.Position())
 	is.NoErr(err)
 	is.True(update != nil)
-	is.NoErr(k.Apply(update))
-	is.True(k.holder.State().Orders.Evacuated("a"))
+	is.NoErr(s.Apply(update))
+	is.True(s.holder.State().Orders.Evacuated("a"))
 
-	restarted, _, _ := startKeeper(t, files) // saved by this release
+	restarted, _, _ := startStore(t, files) // saved by this release
 	is.Equal(restarted.Position(), controlState.Position())
 	is.True(restarted.holder.State().Orders.Evacuated("a"))
 }
--- a/pkg/proxy/gate.go
+++ b/pkg/proxy/gate.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// HeartbeatRefused counts and logs a rejected heartbeat, for instance of a service unknown here.
-func (s *Server) HeartbeatRefused(id string, err error) {
+// HeartbeatRejected counts and logs a rejected heartbeat, for instance of a service unknown here.
+func (s *Server) HeartbeatRejected(id string, err error) {
 	s.observer.heartbeatsRejected.Inc()
 	s.logger.Log("event", "heartbeat_refused", "instance", id, "error", err)
 }
@@ -91,8 +91,8 @@
 	return name == s.settings.Service || s.forwarder == nil || s.forwarder.KnowsService(name)
 }
 
-// BackendLeft removes a back end that deregistered itself.
-func (s *Server) BackendLeft(id string) {
+// DeregisterBackend removes a back end that deregistered itself.
+func (s *Server) DeregisterBackend(id string) {
 	if s.backendRegistry != nil {
 		s.backendRegistry.RecordDeparture(id, time.Now())
 	}
--- a/pkg/proxy/observer.go
+++ b/pkg/proxy/observer.go
@@ -187,10 +187,10 @@
 		"link_wait", a.Report.LinkWait, "wait", a.Wait.Round(time.Microsecond), "took", a.Elapsed.Round(time.Microsecond), "left", a.Left.Round(time.Millisecond), "again", a.Retried)
 }
 
-// crowding records that the link to another region became congested or clear.
-func (o *observer) crowding(region string, crowding link.Congestion, rise time.Duration) {
+// congestion records that the link to another region became congested or clear.
+func (o *observer) congestion(region string, congestion link.Congestion, rise time.Duration) {
 	o.regionDelayRise.WithLabelValues(region).Set(rise.Seconds())
-	o.logger.Log("event", "region_crowding", "region", region, "crowding", crowding, "delay_rise", rise.Round(time.Millisecond))
+	o.logger.Log("event", "region_crowding", "region", region, "crowding", congestion, "delay_rise", rise.Round(time.Millisecond))
 }
 
 // gateCall counts a call at the gate, and logs one that failed there.
--- a/pkg/proxy/proxy.go
+++ b/pkg/proxy/proxy.go
@@ -70,7 +70,7 @@
 	settings       settings.Proxy
 	logger         log.Logger
 	clock          *clock.Clock
-	keeper         *Keeper
+	store          *ConfigStore
 	controlClient  *stream.Client
 	forwarder      *forward.Handler
 	callerServer   *pipeline.Server
@@ -116,7 +116,7 @@
 		s.responsePacer = exchange.NewAnswerPacer(config.LinkMegabits*megabit, s.link.UnpacedRate, s.clock.Now)
 	}
 	s.quotas = quota.NewLimiter(quota.Config{Window: config.Quotas.Policy().Window, Life: rand.Uint64(), OnSurge: func() { s.controlClient.PingSoon() }})
-	if err := s.openKeeper(); err != nil {
+	if err := s.openStore(); err != nil {
 		return nil, err
 	}
 	var err error
@@ -152,7 +152,7 @@
 	})
 }
 
-func (s *Server) openKeeper() error {
+func (s *Server) openStore() error {
 	verifier, err := s.settings.Verifier()
 	if err != nil {
 		return err
@@ -163,8 +163,8 @@
 			return err
 		}
 	}
-	s.keeper, err = NewKeeper(KeeperConfig{
-		Files: files, Group: s.settings.Group, Verifier: verifier, InForce: s.activate,
+	s.store, err = NewConfigStore(StoreConfig{
+		Files: files, Group: s.settings.Group, Verifier: verifier, OnActivate: s.activate,
 		OnFailure: func(err error) {
 			select {
 			case s.saveFailed <- err:
@@ -176,8 +176,8 @@
 }
 
 func (s *Server) newClient() error {
-	relayLink := &metrics.Link{}
-	relayLink.Set(metrics.LinkRelay)
+	relayRole := &metrics.Link{}
+	relayRole.Set(metrics.LinkRelay)
 	var err error
 	s.controlClient, err = stream.NewClient(stream.ClientConfig{
 		Hello: protocol.Hello{
@@ -189,13 +189,13 @@
 		SilenceTimeout: time.Duration(s.settings.SilenceTimeout),
 		DialTimeout:    dialTimeout,
 		Wrap:           func(conn net.Conn) net.Conn { return s.link.Conn(link.Control, conn) },
-		Observe:        metrics.NewTraffic(s.admin.Registry).Observe(relayLink),
+		Observe:        metrics.NewTraffic(s.admin.Registry).Observe(relayRole),
 		Logger:         s.logger,
 		Now:            s.clock.Elapsed,
-		OnConfirmed:    s.keeper.Confirmed,
+		OnConfirmed:    s.store.Confirmed,
 		Announce:       s.announce,
 		OnQuotas:       s.applyQuotaShares,
-	}, s.keeper, serverCandidates(s.settings))
+	}, s.store, serverCandidates(s.settings))
 	return err
 }
 
@@ -219,7 +219,7 @@
 		Retry: retry.DefaultConfig(), DeclinedRetries: retry.DeclinedRetriesConfig(), OnCall: s.observer.call,
 		StopsAt: func() time.Duration { return time.Duration(s.stopsAt.Load()) },
 		Link:    s.link,
-		Headers: s.settings.Headers, Service: s.settings.Service, OnAttempt: s.observer.attempt, OnCongestion: s.observer.crowding,
+		Headers: s.settings.Headers, Service: s.settings.Service, OnAttempt: s.observer.attempt, OnCongestion: s.observer.congestion,
 		Quarantine: &s.quarantine, OnCrash: s.onCrash, OnSuspectResponse: s.onWatchedResponse,
 		Quotas: s.quotas, KeysStaleLimit: time.Duration(s.settings.KeysStaleLimit),
 		ConfirmedAt: func() (time.Duration, bool) { return s.controlClient.ConfirmedAt() }, StaleLimit: time.Duration(s.settings.StaleLimit),
@@ -240,7 +240,7 @@
 // a configuration cannot be saved, or calls are still in flight after StopTimeout.
 func (s *Server) Run(ctx context.Context) error {
 	s.logger.Log("event", "started", "listen", s.callerListener.Addr(), "admin", s.admin.Address(), "group", s.settings.Group)
-	s.keeper.Start()
+	s.store.Start()
 	background, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -328,11 +328,11 @@
 func (s *Server) status() any {
 	status := Status{
 		Name: s.settings.Name, Group: s.settings.Group, Zone: s.settings.Zone,
-		Server: s.controlClient.Server(), Serving: s.keeper.Serving(), Stopping: s.stopping.Load(),
-		Version: s.forwarder.Version(), Position: s.keeper.Position(), Pools: s.forwarder.Pools(),
+		Server: s.controlClient.Server(), Serving: s.store.Serving(), Stopping: s.stopping.Load(),
+		Version: s.forwarder.Version(), Position: s.store.Position(), Pools: s.forwarder.Pools(),
 	}
-	standings := s.quotas.Stats()
-	status.Tenants = standings[:min(len(standings), maxStatusTenants)]
+	stats := s.quotas.Stats()
+	status.Tenants = stats[:min(len(stats), maxStatusTenants)]
 	if at, confirmed := s.controlClient.ConfirmedAt(); confirmed {
 		status.Confirmed = true
 		status.StaleMillis = (s.clock.Elapsed() - at).Milliseconds()
@@ -344,7 +344,7 @@
 	if s.stopping.Load() {
 		return errors.New("stopping")
 	}
-	if !s.keeper.Serving() {
+	if !s.store.Serving() {
 		return errors.New("no configuration is in force yet")
 	}
 	return nil
--- a/pkg/sim/node.go
+++ b/pkg/sim/node.go
@@ -29,7 +29,7 @@
 	group   string
 	// disk is nil for a node without persistent state.
 	disk      *disk
-	keeper    *proxy.Keeper
+	keeper    *proxy.ConfigStore
 	client    *subscriber
 	table     *routing.Table
 	pools     map[string]*balancer.Pool
@@ -58,10 +58,10 @@
 	if n.disk != nil {
 		files = n.disk
 	}
-	keeper, err := proxy.NewKeeper(proxy.KeeperConfig{
+	keeper, err := proxy.NewConfigStore(proxy.StoreConfig{
 		Files: files, Group: n.group, Verifier: n.cluster.verifier,
-		InForce:   n.activate,
-		OnFailure: func(err error) { n.fail(err) },
+		OnActivate: n.activate,
+		OnFailure:  func(err error) { n.fail(err) },
 	})
 	if err != nil {
 		n.simulation.violate(invariantRecovery, "%s cannot read its configuration: %v", n.name, err)
