--- a/pkg/control/peers.go
+++ b/pkg/control/peers.go
@@ -136,7 +136,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("dial replica %s: %w", address, err)
 	}
-	role := &metrics.Link{}
+	role := &metrics.PeerRole{}
 	role.Set(metrics.LinkReplica)
 	conn := wire.NewConn(raw, wire.DefaultMaxFrame, peerWriteTimeout, p.server.traffic.Observe(role))
 	hello := protocol.Hello{ClusterID: p.server.settings.Cluster, Role: protocol.RoleReplica, Name: p.server.settings.Name, Zone: p.server.settings.Zone,
--- a/pkg/control/server.go
+++ b/pkg/control/server.go
@@ -371,7 +371,7 @@
 }
 
 func (s *Server) serveConn(ctx context.Context, raw net.Conn) {
-	role := &metrics.Link{}
+	role := &metrics.PeerRole{}
 	conn := wire.NewConn(raw, wire.DefaultMaxFrame, peerWriteTimeout, s.traffic.Observe(role))
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
--- a/pkg/metrics/traffic.go
+++ b/pkg/metrics/traffic.go
@@ -19,17 +19,17 @@
 	LinkNode    = "node"
 )
 
-// Link holds the role of the peer of a connection, LinkUnknown until it is set. It is safe for
+// PeerRole holds the role of the peer of a connection, LinkUnknown until it is set. It is safe for
 // concurrent use.
-type Link struct {
+type PeerRole struct {
 	name atomic.Pointer[string]
 }
 
 // Set sets the peer's role, one of the Link constants.
-func (l *Link) Set(name string) { l.name.Store(&name) }
+func (r *PeerRole) Set(name string) { r.name.Store(&name) }
 
-func (l *Link) get() string {
-	if name := l.name.Load(); name != nil {
+func (r *PeerRole) get() string {
+	if name := r.name.Load(); name != nil {
 		return *name
 	}
 	return LinkUnknown
@@ -59,9 +59,9 @@
 }
 
 // Observe returns an observer that counts the frames of one connection.
-func (t *Traffic) Observe(link *Link) wire.Observer {
+func (t *Traffic) Observe(role *PeerRole) wire.Observer {
 	return func(kind wire.Kind, direction wire.Direction, size int) {
-		name, kindName := link.get(), protocol.KindName(kind)
+		name, kindName := role.get(), protocol.KindName(kind)
 		t.bytes.WithLabelValues(name, kindName, string(direction)).Add(float64(size))
 		t.frames.WithLabelValues(name, kindName, string(direction)).Inc()
 	}
--- a/pkg/proxy/proxy.go
+++ b/pkg/proxy/proxy.go
@@ -176,7 +176,7 @@
 }
 
 func (s *Server) newClient() error {
-	relayRole := &metrics.Link{}
+	relayRole := &metrics.PeerRole{}
 	relayRole.Set(metrics.LinkRelay)
 	var err error
 	s.controlClient, err = stream.NewClient(stream.ClientConfig{
--- a/pkg/relay/relay.go
+++ b/pkg/relay/relay.go
@@ -95,7 +95,7 @@
 }
 
 func (s *Server) newClient() error {
-	link := &metrics.Link{}
+	link := &metrics.PeerRole{}
 	link.Set(metrics.LinkControl)
 	var err error
 	s.client, err = stream.NewClient(stream.ClientConfig{
@@ -203,7 +203,7 @@
 }
 
 func (s *Server) serve(ctx context.Context, raw net.Conn) {
-	link := &metrics.Link{}
+	link := &metrics.PeerRole{}
 	link.Set(metrics.LinkNode)
 	conn := wire.NewConn(raw, wire.DefaultMaxFrame, writeTimeout, s.traffic.Observe(link))
 	defer conn.Close()
