--- a/pkg/daemon/daemon.go
+++ b/pkg/daemon/daemon.go
@@ -85,16 +85,16 @@
 // errUsage marks errors that exit with ExitUsage.
 var errUsage = errors.New("settings")
 
-// Interfaces create the HTTP handlers of a platform's API, which the daemons serve at
+// PlatformHandlers create the HTTP handlers of a platform's API, which the daemons serve at
 // interface_listen; each may be nil.
-type Interfaces struct {
+type PlatformHandlers struct {
 	// Control returns the handler for operators, Proxy that for the back end beside a node.
 	Control func(*control.Server) http.Handler
 	Proxy   func(*proxy.Server) http.Handler
 }
 
 // Main runs bramblelift with arguments, without the program's name, and returns its exit code.
-func Main(arguments []string, interfaces Interfaces, stdout, stderr io.Writer) int {
+func Main(arguments []string, handlers PlatformHandlers, stdout, stderr io.Writer) int {
 	var parsed options
 	parser := flags.NewParser(&parsed, flags.HelpFlag|flags.PassDoubleDash)
 	parser.Name = "bramblelift"
@@ -106,11 +106,11 @@
 	var err error
 	switch parser.Active.Name {
 	case "control":
-		err = parsed.Control.run(ctx, interfaces, stdout)
+		err = parsed.Control.run(ctx, handlers, stdout)
 	case "relay":
 		err = parsed.Relay.run(ctx, stdout)
 	case "proxy":
-		err = parsed.Proxy.run(ctx, interfaces, stdout)
+		err = parsed.Proxy.run(ctx, handlers, stdout)
 	case "version":
 		fmt.Fprintln(stdout, "bramblelift", version.String())
 	}
@@ -154,7 +154,7 @@
 	return true, err
 }
 
-func (c *controlCommand) run(ctx context.Context, interfaces Interfaces, stdout io.Writer) error {
+func (c *controlCommand) run(ctx context.Context, handlers PlatformHandlers, stdout io.Writer) error {
 	config, loadErr := c.load()
 	if done, err := reportSettings(c.Settings, loadErr, config.Check(), c.Check, config, stdout); done {
 		return err
@@ -164,7 +164,7 @@
 	}
 	logger := logging.New(stdout, "control", config.Name)
 	defer logger.Close()
-	server, err := control.New(config, logger, interfaces.Control)
+	server, err := control.New(config, logger, handlers.Control)
 	if err != nil {
 		return err
 	}
@@ -205,14 +205,14 @@
 	return server.Run(ctx)
 }
 
-func (c *proxyCommand) run(ctx context.Context, interfaces Interfaces, stdout io.Writer) error {
+func (c *proxyCommand) run(ctx context.Context, handlers PlatformHandlers, stdout io.Writer) error {
 	config, loadErr := c.load()
 	if done, err := reportSettings(c.Settings, loadErr, config.Check(), c.Check, config, stdout); done {
 		return err
 	}
 	logger := logging.New(stdout, "proxy", config.Name)
 	defer logger.Close()
-	server, err := proxy.New(config, logger, interfaces.Proxy)
+	server, err := proxy.New(config, logger, handlers.Proxy)
 	if err != nil {
 		return err
 	}
