--- a/pkg/relay/relay.go
+++ b/pkg/relay/relay.go
@@ -72,13 +72,13 @@
 	}
 	s.hub = stream.NewHub(stream.HubConfig{
 		Name: config.Name, SilenceTimeout: nodeSilenceTimeout,
-		Admission:   stream.AdmissionConfig{PerSecond: admissionPerSecond, Burst: admissionBurst},
-		Now:         s.clock.Elapsed,
-		ConfirmedAt: func() (time.Duration, bool) { return s.client.ConfirmedAt() },
-		WantFresh:   func() { s.client.PingSoon() },
-		OnReport:    s.reports.add,
-		OnAnnounce:  s.queueAnnouncement,
-		Quotas:      s.quotas,
+		Admission:           stream.AdmissionConfig{PerSecond: admissionPerSecond, Burst: admissionBurst},
+		Now:                 s.clock.Elapsed,
+		ConfirmedAt:         func() (time.Duration, bool) { return s.client.ConfirmedAt() },
+		RequestConfirmation: func() { s.client.PingSoon() },
+		OnReport:            s.reports.add,
+		OnAnnounce:          s.queueAnnouncement,
+		Quotas:              s.quotas,
 	}, s.holder.State())
 	if s.listener, err = net.Listen("tcp", config.Listen); err != nil {
 		return nil, fmt.Errorf("listen for nodes: %w", err)
--- a/pkg/sim/faults_expanded.go
+++ b/pkg/sim/faults_expanded.go
@@ -23,7 +23,7 @@
 func (c *cluster) updateRelayServers() {
 	for _, r := range c.relays {
 		if r.running {
-			r.client.selector.Offer(candidatesOf(r.zone, c.controlProcesses()))
+			r.client.selector.SetCandidates(candidatesOf(r.zone, c.controlProcesses()))
 		}
 	}
 }
--- a/pkg/sim/subscribe.go
+++ b/pkg/sim/subscribe.go
@@ -52,12 +52,12 @@
 }
 
 func (s *server) handlePing(sess *serverSession, ping protocol.Ping) {
-	sess.session.TakePing(ping)
+	sess.session.HandlePing(ping)
 	s.sendPending(sess)
 }
 
 func (s *server) sendPending(sess *serverSession) {
-	update, pong, err := sess.session.Due(s.planner, s.freshness())
+	update, pong, err := sess.session.PendingMessages(s.planner, s.freshness())
 	if err != nil {
 		s.process.simulation.violate(invariantPlan, "%s cannot plan an update: %v", s.process.name, err)
 		return
@@ -195,7 +195,7 @@
 		return
 	}
 	s.lastHeard = s.process.clock()
-	at, confirmed, err := s.subscription.TakePong(pong, s.target)
+	at, confirmed, err := s.subscription.HandlePong(pong, s.target)
 	if err != nil {
 		s.connectionLost(conn)
 		return
@@ -206,11 +206,11 @@
 			s.onConfirmed(at)
 		}
 	}
-	if s.selector.Heard(s.process.clock(), stream.Standing{Confirmed: confirmed, Stale: pong.Stale, Behind: pong.Revision < s.target.Position().Revision}) {
+	if s.selector.ObservePong(s.process.clock(), stream.ServerHealth{Confirmed: confirmed, Stale: pong.Stale, Behind: pong.Revision < s.target.Position().Revision}) {
 		s.connectionLost(conn)
 		return
 	}
-	if s.selector.Nearer(s.process.clock()) {
+	if s.selector.ShouldMoveNearer(s.process.clock()) {
 		s.moveToLocalZone(conn)
 	}
 }
@@ -220,6 +220,6 @@
 	conn.closeFrom(s.process)
 	s.process.simulation.log("%s moves to a server of its zone", s.process.name)
 	s.conn = nil
-	s.selector.Move(s.process.clock())
+	s.selector.SelectNearest(s.process.clock())
 	s.connectNext()
 }
--- a/pkg/stream/client.go
+++ b/pkg/stream/client.go
@@ -150,7 +150,7 @@
 			all = append(all, seed)
 		}
 	}
-	c.selector.Offer(all)
+	c.selector.SetCandidates(all)
 }
 
 // Server returns the address of the current server, empty while there is no subscription.
@@ -217,7 +217,7 @@
 		c.selector.SetCurrent(s.successor.address)
 		c.config.Logger.Log("event", "subscription_moves", "server", s.address, "to", s.successor.address, "reason", s.moveReason())
 	case errors.Is(err, errNearerServer):
-		c.selector.Move(now)
+		c.selector.SelectNearest(now)
 		c.config.Logger.Log("event", "subscription_moves", "server", s.address, "reason", err)
 	default:
 		c.selector.Failed(now, retryAfter(err))
@@ -227,8 +227,8 @@
 
 // moveReason describes for the log why a successor was opened.
 func (s *clientSession) moveReason() string {
-	if standing := s.leaveReason.Load(); standing != nil {
-		return fmt.Sprintf("the server is stale (confirmed=%t stale=%s behind=%t)", standing.Confirmed, standing.Stale, standing.Behind)
+	if health := s.leaveReason.Load(); health != nil {
+		return fmt.Sprintf("the server is stale (confirmed=%t stale=%s behind=%t)", health.Confirmed, health.Stale, health.Behind)
 	}
 	return errNearerServer.Error()
 }
--- a/pkg/stream/client_session.go
+++ b/pkg/stream/client_session.go
@@ -35,9 +35,9 @@
 	// that subscription once established; it is final when run has returned.
 	openingSuccessor bool
 	successor        *clientSession
-	// leaveReason is the server's standing that made the selector reject it, nil while the server
+	// leaveReason is the server's health that made the selector reject it, nil while the server
 	// is acceptable.
-	leaveReason atomic.Pointer[Standing]
+	leaveReason atomic.Pointer[ServerHealth]
 }
 
 // dialTimeout returns the timeout of the next dial. It starts short, because a server that is
@@ -268,7 +268,7 @@
 	c.setDiscoveredServers(pong.Servers)
 	s.mu.Lock()
 	sentAt := s.subscription.SentAt(pong.Sequence)
-	at, confirmed, err := s.subscription.TakePong(pong, c.target)
+	at, confirmed, err := s.subscription.HandlePong(pong, c.target)
 	s.mu.Unlock()
 	if err != nil {
 		return fmt.Errorf("from %s: %w", s.conn.Peer(), err)
@@ -281,11 +281,11 @@
 		c.advanceConfirmedAt(at)
 	}
 	_, everConfirmed := c.ConfirmedAt()
-	standing := Standing{
+	health := ServerHealth{
 		Confirmed: confirmed, Stale: pong.Stale, Behind: pong.Revision < c.target.Position().Revision,
 		Starting: !everConfirmed, Open: c.config.Now() - s.openedAt,
 	}
-	s.considerMove(ctx, standing)
+	s.considerMove(ctx, health)
 	return nil
 }
 
@@ -304,18 +304,18 @@
 
 // considerMove starts a move to another server if this one is stale or behind, or if a server in
 // the client's zone is available.
-func (s *clientSession) considerMove(ctx context.Context, standing Standing) {
+func (s *clientSession) considerMove(ctx context.Context, health ServerHealth) {
 	c := s.client
 	now := c.config.Now()
-	if c.selector.Heard(now, standing) {
-		s.leaveReason.Store(&standing)
-		if other, known := c.selector.AlternativeFor(now, standing); known {
+	if c.selector.ObservePong(now, health) {
+		s.leaveReason.Store(&health)
+		if other, known := c.selector.AlternativeFor(now, health); known {
 			s.openSuccessor(ctx, other, c.selector.Alternative)
 		}
 		return
 	}
 	s.leaveReason.Store(nil)
-	if !c.selector.Nearer(now) {
+	if !c.selector.ShouldMoveNearer(now) {
 		return
 	}
 	if nearest, known := c.selector.Nearest(now); known {
--- a/pkg/stream/hub.go
+++ b/pkg/stream/hub.go
@@ -28,9 +28,9 @@
 	// ConfirmedAt returns when the state was last confirmed to include every accepted change, on
 	// the clock of Now.
 	ConfirmedAt func() (time.Duration, bool)
-	// WantFresh, if set, is called when a subscriber waits for a confirmation of the state that is
+	// RequestConfirmation, if set, is called when a subscriber waits for a confirmation of the state that is
 	// newer than its subscription.
-	WantFresh func()
+	RequestConfirmation func()
 	// OnReport, if set, receives the reports on subscribers and the nodes below them.
 	OnReport func(protocol.NodeReport)
 	// OnAnnounce, if set, receives the announcements of subscribers.
@@ -363,13 +363,13 @@
 	}
 	quotas := h.quotasFor(s, ping)
 	h.mu.Lock()
-	changed := s.session.TakePing(ping)
+	changed := s.session.HandlePing(ping)
 	s.session.quotas = quotas
 	changed = s.setClosed(ping.Closed) || changed
 	h.mu.Unlock()
 	s.wake()
-	if confirmedAt, confirmed := h.config.ConfirmedAt(); h.config.WantFresh != nil && (!confirmed || confirmedAt < s.openedAt) {
-		h.config.WantFresh()
+	if confirmedAt, confirmed := h.config.ConfirmedAt(); h.config.RequestConfirmation != nil && (!confirmed || confirmedAt < s.openedAt) {
+		h.config.RequestConfirmation()
 	}
 	if changed {
 		h.publishReport(s)
@@ -418,7 +418,7 @@
 		h.mu.Unlock()
 		return nil
 	}
-	update, pong, err := s.session.Due(h.planner, h.freshness())
+	update, pong, err := s.session.PendingMessages(h.planner, h.freshness())
 	pushed := s.pendingQuotas
 	s.pendingQuotas = nil
 	var packed *distribution.PackedUpdate
--- a/pkg/stream/hub_test.go
+++ b/pkg/stream/hub_test.go
@@ -140,12 +140,12 @@
 	s := NewSelector(config, []Candidate{{Address: "seed"}})
 	first, _ := s.Next(0)
 	is.Equal(first.Address, "seed")
-	s.Offer([]Candidate{{Address: "far"}, {Address: "near", Near: true}})
+	s.SetCandidates([]Candidate{{Address: "far"}, {Address: "near", Near: true}})
 	s.Failed(0, 0) // fails the seed, which is no longer listed
 	next, _ := s.Next(time.Second)
 	is.Equal(next.Address, "near")
 	s.Failed(time.Second, 0)
-	s.Offer([]Candidate{{Address: "near", Near: true}, {Address: "far"}})
+	s.SetCandidates([]Candidate{{Address: "near", Near: true}, {Address: "far"}})
 	next, _ = s.Next(time.Second + 200*time.Millisecond)
 	is.Equal(next.Address, "far") // near is still marked as failed
 }
@@ -158,7 +158,7 @@
 	s.Next(0)
 	spread := pingInterval + pingInterval/4
 	for now := spread - time.Millisecond; ; now += spread {
-		if s.Heard(now, Standing{Confirmed: true, Stale: now}) {
+		if s.ObservePong(now, ServerHealth{Confirmed: true, Stale: now}) {
 			return now
 		}
 	}
@@ -171,5 +171,5 @@
 	const pingInterval, inForce, resubscribe = 400 * time.Millisecond, 2 * time.Second, 200 * time.Millisecond
 	is.True(timeToLeaveStaleServer(SelectorConfigFor(900*time.Millisecond), pingInterval) < inForce-resubscribe)
 	is.True(timeToLeaveStaleServer(DefaultSelectorConfig(), pingInterval) > inForce)
-	is.Equal(SelectorConfigFor(2500*time.Millisecond).BadMemory, DefaultSelectorConfig().BadMemory)
+	is.Equal(SelectorConfigFor(2500*time.Millisecond).FailureMarkDuration, DefaultSelectorConfig().FailureMarkDuration)
 }
--- a/pkg/stream/nearer.go
+++ b/pkg/stream/nearer.go
@@ -20,10 +20,10 @@
 // errNearerServer ends a subscription in favor of one at a server of the own zone.
 var errNearerServer = errors.New("a server of the own zone is there")
 
-// Nearer reports whether the client should move to a server of its own zone. Without such moves
+// ShouldMoveNearer reports whether the client should move to a server of its own zone. Without such moves
 // clients would stay at the seeds or the servers they failed over to, which concentrates load and
-// sends updates across zones. SetCurrent, Move or MarkUnreachable must follow.
-func (s *Selector) Nearer(now time.Duration) bool {
+// sends updates across zones. SetCurrent, SelectNearest or MarkUnreachable must follow.
+func (s *Selector) ShouldMoveNearer(now time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.candidates[s.current].Near || s.nearestIndex(now) < 0 {
@@ -37,7 +37,7 @@
 }
 
 // NearerAvailable reports whether a server of the own zone is eligible, without the delay of
-// Nearer. A client checks it before its first ping, so that the seeds don't send the full state to
+// ShouldMoveNearer. A client checks it before its first ping, so that the seeds don't send the full state to
 // every client after a full restart.
 func (s *Selector) NearerAvailable(now time.Duration) bool {
 	s.mu.Lock()
@@ -45,8 +45,8 @@
 	return !s.candidates[s.current].Near && s.nearestIndex(now) >= 0
 }
 
-// Move selects a server of the own zone as the next one to try, without a pause.
-func (s *Selector) Move(now time.Duration) {
+// SelectNearest selects a server of the own zone as the next one to try, without a pause.
+func (s *Selector) SelectNearest(now time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.moveAt = 0
@@ -95,8 +95,8 @@
 
 // AlternativeFor is Alternative, except that a server that is behind is replaced even by a
 // candidate marked as failed: the one whose mark expires first.
-func (s *Selector) AlternativeFor(now time.Duration, standing Standing) (Candidate, bool) {
-	if other, known := s.Alternative(now); known || !standing.Behind {
+func (s *Selector) AlternativeFor(now time.Duration, health ServerHealth) (Candidate, bool) {
+	if other, known := s.Alternative(now); known || !health.Behind {
 		return other, known
 	}
 	s.mu.Lock()
--- a/pkg/stream/nearer_test.go
+++ b/pkg/stream/nearer_test.go
@@ -24,16 +24,16 @@
 	is := is.New(t)
 	s := NewSelector(DefaultSelectorConfig(), []Candidate{{Address: "seed"}})
 	s.Next(0)
-	is.True(!s.Nearer(time.Second))
-	s.Offer([]Candidate{{Address: "seed"}, {Address: "near", Near: true}})
-	is.True(!s.Nearer(2 * time.Second))
+	is.True(!s.ShouldMoveNearer(time.Second))
+	s.SetCandidates([]Candidate{{Address: "seed"}, {Address: "near", Near: true}})
+	is.True(!s.ShouldMoveNearer(2 * time.Second))
 	now := 2*time.Second + maxMoveDelay
-	is.True(s.Nearer(now))
-	s.Move(now)
+	is.True(s.ShouldMoveNearer(now))
+	s.SelectNearest(now)
 	next, wait := s.Next(now)
 	is.Equal(next.Address, "near")
 	is.Equal(wait, time.Duration(0))
-	is.True(!s.Nearer(now + time.Minute)) // already in its zone
+	is.True(!s.ShouldMoveNearer(now + time.Minute)) // already in its zone
 }
 
 // A client must not return to a failed server of the own zone before that can have recovered.
@@ -46,10 +46,10 @@
 	s.Failed(0, 0)
 	second, _ := s.Next(0)
 	is.Equal(second.Address, "far")
-	is.True(!s.Nearer(nearRecoveryTime))
-	later := nearRecoveryTime + 2*config.BadMemory
-	is.True(!s.Nearer(later))
-	is.True(s.Nearer(later + maxMoveDelay))
+	is.True(!s.ShouldMoveNearer(nearRecoveryTime))
+	later := nearRecoveryTime + 2*config.FailureMarkDuration
+	is.True(!s.ShouldMoveNearer(later))
+	is.True(s.ShouldMoveNearer(later + maxMoveDelay))
 }
 
 // positionTarget is a target that stores only a revision.
@@ -217,12 +217,12 @@
 	s := testSelector("a", "b")
 	s.Next(0)
 	limit := s.config.StaleLimit
-	is.True(!s.Heard(time.Second, Standing{Starting: true, Open: limit}))
-	is.True(s.Heard(time.Second, Standing{Starting: true, Open: limit + 1}))
+	is.True(!s.ObservePong(time.Second, ServerHealth{Starting: true, Open: limit}))
+	is.True(s.ObservePong(time.Second, ServerHealth{Starting: true, Open: limit + 1}))
 	s = testSelector("a", "b")
 	s.Next(0)
-	is.True(s.Heard(time.Second, Standing{Open: time.Millisecond}))
+	is.True(s.ObservePong(time.Second, ServerHealth{Open: time.Millisecond}))
 	s = testSelector("a", "b")
 	s.Next(0)
-	is.True(s.Heard(time.Second, Standing{Starting: true, Behind: true}))
+	is.True(s.ObservePong(time.Second, ServerHealth{Starting: true, Behind: true}))
 }
--- a/pkg/stream/selector.go
+++ b/pkg/stream/selector.go
@@ -32,9 +32,9 @@
 	MaxBackoff   time.Duration
 	// StaleLimit is the age of a server's state beyond which another server is selected.
 	StaleLimit time.Duration
-	// BadMemory is how long a server is marked as failed, and avoided, after a failure or while it
+	// FailureMarkDuration is how long a server is marked as failed, and avoided, after a failure or while it
 	// is stale. It also limits how fast clients cycle through the servers in a total outage.
-	BadMemory time.Duration
+	FailureMarkDuration time.Duration
 	// Random returns a number in [0, 1).
 	Random func() float64
 }
@@ -43,15 +43,15 @@
 // which an accepted version may take up to 8 s to be in force at a client whose server is silent or stale.
 func DefaultSelectorConfig() SelectorConfig {
 	return SelectorConfig{
-		FirstBackoff: 100 * time.Millisecond,
-		MaxBackoff:   2 * time.Second,
-		StaleLimit:   2500 * time.Millisecond,
-		BadMemory:    4 * time.Second,
-		Random:       rand.Float64,
+		FirstBackoff:        100 * time.Millisecond,
+		MaxBackoff:          2 * time.Second,
+		StaleLimit:          2500 * time.Millisecond,
+		FailureMarkDuration: 4 * time.Second,
+		Random:              rand.Float64,
 	}
 }
 
-// failureMarkFactor is the ratio of BadMemory to StaleLimit. It leaves a client enough time to try the
+// failureMarkFactor is the ratio of FailureMarkDuration to StaleLimit. It leaves a client enough time to try the
 // other servers, and lets it return soon to one that has recovered.
 const failureMarkFactor = 1.6
 
@@ -60,7 +60,7 @@
 func SelectorConfigFor(staleLimit time.Duration) SelectorConfig {
 	config := DefaultSelectorConfig()
 	config.StaleLimit = staleLimit
-	config.BadMemory = time.Duration(failureMarkFactor * float64(staleLimit))
+	config.FailureMarkDuration = time.Duration(failureMarkFactor * float64(staleLimit))
 	return config
 }
 
@@ -80,7 +80,7 @@
 	current    int
 	failures   int
 	notBefore  time.Duration
-	// retryCurrent makes Next return the current server, after the server asked for a retry or Move
+	// retryCurrent makes Next return the current server, after the server asked for a retry or SelectNearest
 	// selected it.
 	retryCurrent bool
 	// moveAt is when to move to a server of the own zone, zero if no such move is planned.
@@ -110,9 +110,9 @@
 	return all
 }
 
-// Offer replaces the candidates. Those that remain keep their failure state, and the current server
+// SetCandidates replaces the candidates. Those that remain keep their failure state, and the current server
 // is kept until it fails.
-func (s *Selector) Offer(candidates []Candidate) {
+func (s *Selector) SetCandidates(candidates []Candidate) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before := s.candidates
@@ -186,9 +186,9 @@
 // maxDoublings keeps the shift that doubles a duration from overflowing.
 const maxDoublings = 16
 
-// markFailed makes a candidate avoided for about BadMemory; mu must be held.
+// markFailed makes a candidate avoided for about FailureMarkDuration; mu must be held.
 func (s *Selector) markFailed(now time.Duration, candidate int) {
-	s.candidates[candidate].avoidUntil = now + s.jitter(s.config.BadMemory)
+	s.candidates[candidate].avoidUntil = now + s.jitter(s.config.FailureMarkDuration)
 }
 
 func (s *Selector) hasAlternative(now time.Duration) bool {
@@ -205,8 +205,8 @@
 	return time.Duration((0.5 + s.config.Random()) * float64(pause))
 }
 
-// Standing is the condition of a server as reported by a Pong.
-type Standing struct {
+// ServerHealth is the condition of a server as reported by a Pong.
+type ServerHealth struct {
 	// Confirmed is true if Stale is known.
 	Confirmed bool
 	Stale     time.Duration
@@ -222,23 +222,23 @@
 // mayAwaitConfirmation reports whether a starting client may keep its server until the first
 // confirmation. After a full restart every server waits for a leader, and switching between them
 // only delays the client.
-func (s Standing) mayAwaitConfirmation(limit time.Duration) bool {
+func (s ServerHealth) mayAwaitConfirmation(limit time.Duration) bool {
 	return s.Starting && !s.Confirmed && !s.Behind && s.Open <= limit
 }
 
-// Heard records the server's condition after a Pong. It reports whether to leave the server: it is
+// ObservePong records the server's condition after a Pong. It reports whether to leave the server: it is
 // behind and there is another candidate, or it is stale and another is not marked as failed.
-func (s *Selector) Heard(now time.Duration, standing Standing) (leave bool) {
+func (s *Selector) ObservePong(now time.Duration, health ServerHealth) (leave bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if standing.mayAwaitConfirmation(s.config.StaleLimit) {
+	if health.mayAwaitConfirmation(s.config.StaleLimit) {
 		return false
 	}
-	if standing.Confirmed && !standing.Behind && standing.Stale <= s.config.StaleLimit {
+	if health.Confirmed && !health.Behind && health.Stale <= s.config.StaleLimit {
 		s.failures = 0
 		s.candidates[s.current].avoidUntil = -1
 		return false
 	}
 	s.markFailed(now, s.current)
-	return s.hasAlternative(now) || (standing.Behind && len(s.candidates) > 1)
+	return s.hasAlternative(now) || (health.Behind && len(s.candidates) > 1)
 }
--- a/pkg/stream/server_move_test.go
+++ b/pkg/stream/server_move_test.go
@@ -61,11 +61,11 @@
 func TestSessionStartsAtPositionOfFirstPing(t *testing.T) {
 	is := is.New(t)
 	s := NewSession("", distribution.Position{Revision: 5, Active: 2})
-	s.TakePing(protocol.Ping{Sequence: 1, Position: distribution.Position{Revision: 9, Active: 4}})
+	s.HandlePing(protocol.Ping{Sequence: 1, Position: distribution.Position{Revision: 9, Active: 4}})
 	is.Equal(s.sent, distribution.Position{Revision: 9, Active: 4})
-	s.TakePing(protocol.Ping{Sequence: 2, Position: distribution.Position{Revision: 5, Active: 2}})
+	s.HandlePing(protocol.Ping{Sequence: 2, Position: distribution.Position{Revision: 5, Active: 2}})
 	is.Equal(s.sent.Revision, uint64(9)) // updates sent since may be in transit
 	s = NewSession("", distribution.Position{})
-	s.TakePing(protocol.Ping{Sequence: 1, Position: distribution.Position{Revision: 9, Active: 4}})
+	s.HandlePing(protocol.Ping{Sequence: 1, Position: distribution.Position{Revision: 9, Active: 4}})
 	is.Equal(s.sent, distribution.Position{}) // an empty position requests the full state
 }
--- a/pkg/stream/session.go
+++ b/pkg/stream/session.go
@@ -43,8 +43,8 @@
 // Reported returns the position that the subscriber last reported.
 func (s *Session) Reported() distribution.Position { return s.reported }
 
-// TakePing records a ping; it reports whether the subscriber's versions have changed.
-func (s *Session) TakePing(ping protocol.Ping) (changed bool) {
+// HandlePing records a ping; it reports whether the subscriber's versions have changed.
+func (s *Session) HandlePing(ping protocol.Ping) (changed bool) {
 	if !s.pinged && s.sent != (distribution.Position{}) {
 		// The subscriber may have received updates from another server since its Hello.
 		s.sent = ping.Position
@@ -62,9 +62,9 @@
 	return changed
 }
 
-// Due returns what to send: the update, then the pong, whose revision must not exceed that of the
+// PendingMessages returns what to send: the update, then the pong, whose revision must not exceed that of the
 // updates sent before it. Either may be nil.
-func (s *Session) Due(planner *distribution.Planner, freshness Freshness) (*distribution.Update, *protocol.Pong, error) {
+func (s *Session) PendingMessages(planner *distribution.Planner, freshness Freshness) (*distribution.Update, *protocol.Pong, error) {
 	update, err := planner.Plan(s.group, s.sent)
 	if err != nil {
 		return nil, nil, err
@@ -113,9 +113,9 @@
 // errUnexpectedPong reports a pong whose sequence number matches no unanswered ping.
 var errUnexpectedPong = errors.New("pong matches no unanswered ping")
 
-// TakePong handles a pong. If it confirms the target's state, TakePong returns the time on the
+// HandlePong handles a pong. If it confirms the target's state, HandlePong returns the time on the
 // client's clock up to which the state is confirmed.
-func (s *Subscription) TakePong(pong protocol.Pong, target Target) (at time.Duration, confirmed bool, err error) {
+func (s *Subscription) HandlePong(pong protocol.Pong, target Target) (at time.Duration, confirmed bool, err error) {
 	sentAt, known := s.sentAt[pong.Sequence]
 	if !known {
 		return 0, false, fmt.Errorf("pong %d: %w", pong.Sequence, errUnexpectedPong)
--- a/pkg/stream/stale_server_test.go
+++ b/pkg/stream/stale_server_test.go
@@ -118,12 +118,12 @@
 	s.Next(0)
 	s.MarkUnreachable(0, "c")
 	s.MarkUnreachable(time.Second, "b")
-	_, known := s.AlternativeFor(2*time.Second, Standing{})
+	_, known := s.AlternativeFor(2*time.Second, ServerHealth{})
 	is.True(!known) // a stale server is not left for a failed one
-	other, known := s.AlternativeFor(2*time.Second, Standing{Behind: true})
+	other, known := s.AlternativeFor(2*time.Second, ServerHealth{Behind: true})
 	is.True(known)
 	is.Equal(other.Address, "c")
-	_, known = testSelector("behind").AlternativeFor(0, Standing{Behind: true})
+	_, known = testSelector("behind").AlternativeFor(0, ServerHealth{Behind: true})
 	is.True(!known)
 }
 
@@ -136,8 +136,8 @@
 	}}
 	s.openingSuccessor = true // prevents dialling
 	s.client.selector.Next(0)
-	s.considerMove(context.Background(), Standing{Confirmed: true, Stale: time.Hour})
+	s.considerMove(context.Background(), ServerHealth{Confirmed: true, Stale: time.Hour})
 	is.True(s.moveReason() != errNearerServer.Error())
-	s.considerMove(context.Background(), Standing{Confirmed: true})
+	s.considerMove(context.Background(), ServerHealth{Confirmed: true})
 	is.Equal(s.moveReason(), errNearerServer.Error())
 }
--- a/pkg/stream/stream_test.go
+++ b/pkg/stream/stream_test.go
@@ -61,11 +61,11 @@
 	is := is.New(t)
 	s := testSelector("stale", "other")
 	s.Next(0)
-	is.True(!s.Heard(0, Standing{Confirmed: true, Stale: time.Second}))    // fresh enough
-	is.True(s.Heard(0, Standing{Confirmed: true, Stale: 9 * time.Second})) // stale, the other may be fresh
+	is.True(!s.ObservePong(0, ServerHealth{Confirmed: true, Stale: time.Second}))    // fresh enough
+	is.True(s.ObservePong(0, ServerHealth{Confirmed: true, Stale: 9 * time.Second})) // stale, the other may be fresh
 	s.Failed(0, 0)
 	s.Next(0)
-	is.True(!s.Heard(0, Standing{})) // all are marked as failed: keep the connection
+	is.True(!s.ObservePong(0, ServerHealth{})) // all are marked as failed: keep the connection
 }
 
 // A server that holds less than the client, for example after losing its disk, must be left for any
@@ -74,18 +74,18 @@
 	is := is.New(t)
 	s := testSelector("other", "behind")
 	s.Next(0)
-	is.True(s.Heard(0, Standing{})) // unconfirmed, the other may be confirmed
+	is.True(s.ObservePong(0, ServerHealth{})) // unconfirmed, the other may be confirmed
 	s.Failed(0, 0)
 	next, _ := s.Next(0)
 	is.Equal(next.Address, "behind")
-	is.True(s.Heard(0, Standing{Behind: true}))
+	is.True(s.ObservePong(0, ServerHealth{Behind: true}))
 	s.Failed(0, 0)
 	next, wait := s.Next(0)
 	is.Equal(next.Address, "other")
 	is.True(wait <= 200*time.Millisecond)
 	alone := testSelector("behind")
 	alone.Next(0)
-	is.True(!alone.Heard(0, Standing{Behind: true})) // the only candidate
+	is.True(!alone.ObservePong(0, ServerHealth{Behind: true})) // the only candidate
 }
 
 func TestAdmissionSpreadsRetriesOfBurst(t *testing.T) {
@@ -118,13 +118,13 @@
 	is := is.New(t)
 	planner := distribution.NewPlanner(stateAt(3))
 	session := NewSession("*", distribution.Position{})
-	session.TakePing(protocol.Ping{Sequence: 4})
-	update, pong, err := session.Due(planner, Freshness{Confirmed: true, Stale: time.Second})
+	session.HandlePing(protocol.Ping{Sequence: 4})
+	update, pong, err := session.PendingMessages(planner, Freshness{Confirmed: true, Stale: time.Second})
 	is.NoErr(err)
 	is.Equal(update.To, uint64(3))
 	is.Equal(pong.Sequence, uint64(4))
 	is.Equal(pong.Revision, uint64(3))
-	update, pong, err = session.Due(planner, Freshness{})
+	update, pong, err = session.PendingMessages(planner, Freshness{})
 	is.NoErr(err)
 	is.True(update == nil && pong == nil) // nothing is sent twice
 }
@@ -154,7 +154,7 @@
 			is := is.New(t)
 			s := NewSubscription()
 			s.Ping(10*time.Second, distribution.Position{})
-			at, confirmed, err := s.TakePong(test.pong, &fixedTarget{revision: 7})
+			at, confirmed, err := s.HandlePong(test.pong, &fixedTarget{revision: 7})
 			is.NoErr(err)
 			is.Equal(confirmed, test.confirmed)
 			is.Equal(at, test.at)
@@ -165,6 +165,6 @@
 func TestUnexpectedPongIsAnError(t *testing.T) {
 	s := NewSubscription()
 	s.Ping(0, distribution.Position{})
-	_, _, err := s.TakePong(protocol.Pong{Sequence: 9}, &fixedTarget{})
+	_, _, err := s.HandlePong(protocol.Pong{Sequence: 9}, &fixedTarget{})
 	is.New(t).True(err != nil)
 }
