--- a/pkg/balancer/cold.go
+++ b/pkg/balancer/cold.go
@@ -36,7 +36,7 @@
 		return 0
 	}
 	cold := e.gate.report.Cold
-	admittedIn := e.gate.at + cold.Room + time.Duration(e.gate.sent)*cold.Interval - now
+	admittedIn := e.gate.at + cold.AdmissionDelay + time.Duration(e.gate.sent)*cold.AdmissionInterval - now
 	return max(0, min(admittedIn, remaining))
 }
 
--- a/pkg/balancer/cold_test.go
+++ b/pkg/balancer/cold_test.go
@@ -17,7 +17,7 @@
 	for _, e := range p.endpoints {
 		for _, id := range ids {
 			if e.target.ID == id {
-				e.gate.report.Cold = exchange.Cold{Remaining: time.Second, Room: admitIn, Interval: coldInterval}
+				e.gate.report.Cold = exchange.Cold{Remaining: time.Second, AdmissionDelay: admitIn, AdmissionInterval: coldInterval}
 			}
 		}
 	}
--- a/pkg/balancer/distance_test.go
+++ b/pkg/balancer/distance_test.go
@@ -38,7 +38,7 @@
 func countAcquiredByRegion(p *Pool, n int, r GateRequest) map[string]int {
 	regions := map[string]int{}
 	for _, e := range p.endpoints {
-		e.recordReport(0, exchange.Report{Capacity: 2, Service: 100 * time.Millisecond})
+		e.recordReport(0, exchange.Report{Capacity: 2, ServiceTime: 100 * time.Millisecond})
 	}
 	for range n {
 		ticket, _, err := p.AcquireGate(0, r)
--- a/pkg/balancer/failure_rate_test.go
+++ b/pkg/balancer/failure_rate_test.go
@@ -21,7 +21,7 @@
 	p := NewPool(Config{Node: "n", Zone: "z", Random: func(int) int { return 0 }})
 	p.Update(0, service)
 	for _, e := range p.endpoints {
-		e.gate = gateState{reported: true, report: exchange.Report{Capacity: 4, Service: 10 * time.Millisecond, Failing: failureRates[e.target.ID]}}
+		e.gate = gateState{reported: true, report: exchange.Report{Capacity: 4, ServiceTime: 10 * time.Millisecond, FailureRate: failureRates[e.target.ID]}}
 	}
 	return p
 }
--- a/pkg/balancer/gated.go
+++ b/pkg/balancer/gated.go
@@ -156,7 +156,7 @@
 
 // preferredAsOwnGate reports whether the back end beside the node is fast and reliable enough to be preferred.
 func (e *endpoint) preferredAsOwnGate(now, maxService time.Duration) bool {
-	service := time.Duration(e.serviceFactor(now) * float64(e.gate.report.Service))
+	service := time.Duration(e.serviceFactor(now) * float64(e.gate.report.ServiceTime))
 	return service <= maxService && e.failureRate(now) <= maxOwnGateFailureRate && e.coldWait(now) == 0
 }
 
@@ -168,10 +168,10 @@
 	}
 	free := slices.DeleteFunc(slices.Clone(candidates), func(e *endpoint) bool {
 		recent := e.gate.reported && params.now-e.gate.at <= reportMaxAge
-		if params.largeResponse && e.linkWait(params.now) > e.gate.report.Service {
+		if params.largeResponse && e.linkWait(params.now) > e.gate.report.ServiceTime {
 			return true
 		}
-		return !recent || e.gateLoad(params.now) >= e.gateCapacity() || e.gate.report.Service > maxService || e.coldRemaining(params.now) > 0
+		return !recent || e.gateLoad(params.now) >= e.gateCapacity() || e.gate.report.ServiceTime > maxService || e.coldRemaining(params.now) > 0
 	})
 	return p.bestGate(free, params)
 }
@@ -192,7 +192,7 @@
 // slotWait estimates how long a call waits for a slot at the gate.
 func (e *endpoint) slotWait(now time.Duration) time.Duration {
 	queued := e.gateLoad(now) + 1 - e.gateCapacity()
-	wait := time.Duration(max(0, queued)) * e.gate.report.Service / time.Duration(e.gateCapacity())
+	wait := time.Duration(max(0, queued)) * e.gate.report.ServiceTime / time.Duration(e.gateCapacity())
 	return max(wait, e.coldWait(now))
 }
 
@@ -200,7 +200,7 @@
 func minServiceTime(candidates []*endpoint) time.Duration {
 	var fastest time.Duration
 	for _, e := range candidates {
-		service := e.gate.report.Service
+		service := e.gate.report.ServiceTime
 		if service > 0 && (fastest == 0 || service < fastest) {
 			fastest = service
 		}
@@ -215,8 +215,8 @@
 	var sum time.Duration
 	count := time.Duration(0)
 	for _, e := range p.endpoints {
-		if e.gate.report.Service > 0 {
-			sum += e.gate.report.Service
+		if e.gate.report.ServiceTime > 0 {
+			sum += e.gate.report.ServiceTime
 			count++
 		}
 	}
@@ -274,17 +274,17 @@
 
 // failureRate returns the reported failure rate, decayed by the age of the report.
 func (e *endpoint) failureRate(now time.Duration) float64 {
-	if e.gate.report.Failing == 0 {
+	if e.gate.report.FailureRate == 0 {
 		return 0
 	}
-	return e.gate.report.Failing * clock.DecayFactor(now-e.gate.at, failureHalfLife)
+	return e.gate.report.FailureRate * clock.DecayFactor(now-e.gate.at, failureHalfLife)
 }
 
 // gateScore estimates the time a call takes at the gate, in nanoseconds: wait, service time, and penalties for
 // distance and failures. Lower is better.
 func (e *endpoint) gateScore(params scoreParams) float64 {
 	now, fastest := params.now, params.fastest
-	service := float64(e.gate.report.Service)
+	service := float64(e.gate.report.ServiceTime)
 	if service == 0 {
 		service = max(1, float64(fastest))
 	}
--- a/pkg/balancer/gated_test.go
+++ b/pkg/balancer/gated_test.go
@@ -26,7 +26,7 @@
 	is.Equal(countAcquired(t, pool(), 0, 1, GateRequest{OwnGateMaxService: maxService, Excluded: []string{"b"}})["a"], 1)
 	is.Equal(countAcquired(t, pool(), 0, 1, GateRequest{OwnGateMaxService: 9 * time.Millisecond})["a"], 1) // too slow for the call
 	failing := pool()
-	failing.endpoints[1].gate.report.Failing = 0.2
+	failing.endpoints[1].gate.report.FailureRate = 0.2
 	is.Equal(countAcquired(t, failing, 0, 1, GateRequest{OwnGateMaxService: maxService})["a"], 1)
 }
 
@@ -65,7 +65,7 @@
 		for _, e := range p.endpoints {
 			e.gate.report.Running, e.gate.at = e.gate.report.Capacity, now
 		}
-		p.UpdateReport(now, exchange.Sender{ID: "c", Report: exchange.Report{Running: 1, Capacity: 4, Service: 300 * time.Millisecond}})
+		p.UpdateReport(now, exchange.Sender{ID: "c", Report: exchange.Report{Running: 1, Capacity: 4, ServiceTime: 300 * time.Millisecond}})
 		p.UpdateReport(now, exchange.Sender{ID: "unknown"})
 		return p
 	}
--- a/pkg/balancer/link_wait.go
+++ b/pkg/balancer/link_wait.go
@@ -19,7 +19,7 @@
 func (e *endpoint) expectedWait(params scoreParams) time.Duration {
 	wait := e.slotWait(params.now)
 	if params.largeResponse {
-		wait += max(0, e.linkWait(params.now)-e.gate.report.Service)
+		wait += max(0, e.linkWait(params.now)-e.gate.report.ServiceTime)
 	}
 	return wait
 }
--- a/pkg/balancer/link_wait_test.go
+++ b/pkg/balancer/link_wait_test.go
@@ -21,7 +21,7 @@
 	p.Update(0, routing.Service{Name: "s", Endpoints: endpoints})
 	for i, e := range p.endpoints {
 		ticket := &Ticket{pool: p, endpoint: e}
-		report := exchange.Report{Capacity: 8, Service: time.Duration(100+i) * time.Millisecond}
+		report := exchange.Report{Capacity: 8, ServiceTime: time.Duration(100+i) * time.Millisecond}
 		if i == 0 {
 			report.LinkWait = wait
 		}
@@ -45,6 +45,6 @@
 	is.Equal(choose(0, false), first)
 	is.True(choose(0, true) != first)
 	is.Equal(choose(950*time.Millisecond, true), first) // the link is nearly free
-	p.UpdateReport(0, exchange.Sender{ID: first, Report: exchange.Report{Capacity: 8, Service: 100 * time.Millisecond}})
+	p.UpdateReport(0, exchange.Sender{ID: first, Report: exchange.Report{Capacity: 8, ServiceTime: 100 * time.Millisecond}})
 	is.True(choose(0, true) != first) // a report without a response leaves the link's wait unchanged
 }
--- a/pkg/balancer/version_test.go
+++ b/pkg/balancer/version_test.go
@@ -42,7 +42,7 @@
 	}})
 	for _, e := range pool.endpoints {
 		if e.target.Version == "v2" {
-			e.recordReport(0, exchange.Report{Capacity: 4, Cold: exchange.Cold{Remaining: time.Second, Room: 300 * time.Millisecond, Interval: 100 * time.Millisecond}})
+			e.recordReport(0, exchange.Report{Capacity: 4, Cold: exchange.Cold{Remaining: time.Second, AdmissionDelay: 300 * time.Millisecond, AdmissionInterval: 100 * time.Millisecond}})
 		}
 	}
 	request := GateRequest{Patience: 200 * time.Millisecond, Version: VersionChoice{Rollout: r, Side: rollout.NewVersion}}
--- a/pkg/exchange/body.go
+++ b/pkg/exchange/body.go
@@ -13,7 +13,7 @@
 
 // LargeResponse is the size in bytes from which a response is scheduled on a link and paced. On a
 // link of 10 Mbit/s such a response takes 13 ms, as long as about ten small messages.
-const LargeAnswer = 16 << 10
+const LargeResponse = 16 << 10
 
 // BodyStatus returns the HTTP status of a call whose request body could not be read.
 func BodyStatus(err error) int {
--- a/pkg/exchange/cold.go
+++ b/pkg/exchange/cold.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// HeaderCold carries the Cold of a gate's Report while its back end is cold: Remaining, Room and
-// Interval in milliseconds, separated by commas. Nodes that do not know it read the rest of the
+// HeaderCold carries the Cold of a gate's Report while its back end is cold: Remaining, AdmissionDelay
+// and AdmissionInterval in milliseconds, separated by commas. Nodes that do not know it read the rest of the
 // report.
 const HeaderCold = "Gate-Cold"
 
@@ -17,10 +17,10 @@
 type Cold struct {
 	// Remaining is how much longer the back end is cold.
 	Remaining time.Duration
-	// Room is the expected delay until the gate can admit one more call.
-	Room time.Duration
-	// Interval is the mean time between calls that the gate admits, zero if it is not limited.
-	Interval time.Duration
+	// AdmissionDelay is the expected delay until the gate can admit one more call.
+	AdmissionDelay time.Duration
+	// AdmissionInterval is the mean time between calls that the gate admits, zero if it is not limited.
+	AdmissionInterval time.Duration
 }
 
 // coldFields is the number of fields in HeaderCold.
@@ -29,7 +29,7 @@
 // Set writes HeaderCold to the headers of a response, or nothing if the back end is warm.
 func (c Cold) Set(header http.Header) {
 	if c.Remaining > 0 {
-		header.Set(HeaderCold, fmt.Sprintf("%d,%d,%d", ceilMillis(c.Remaining), ceilMillis(c.Room), ceilMillis(c.Interval)))
+		header.Set(HeaderCold, fmt.Sprintf("%d,%d,%d", ceilMillis(c.Remaining), ceilMillis(c.AdmissionDelay), ceilMillis(c.AdmissionInterval)))
 	}
 }
 
@@ -52,7 +52,7 @@
 		}
 		values[i] = time.Duration(value) * time.Millisecond
 	}
-	return Cold{Remaining: values[0], Room: values[1], Interval: values[2]}
+	return Cold{Remaining: values[0], AdmissionDelay: values[1], AdmissionInterval: values[2]}
 }
 
 // ceilMillis converts a duration to milliseconds, rounded up so that a positive remainder is not
--- a/pkg/exchange/cold_test.go
+++ b/pkg/exchange/cold_test.go
@@ -10,12 +10,12 @@
 
 func TestReportCarriesColdState(t *testing.T) {
 	is := is.New(t)
-	report := Report{Running: 2, Capacity: 4, Cold: Cold{Remaining: 2 * time.Second, Room: 300 * time.Microsecond, Interval: 58 * time.Millisecond}}
+	report := Report{Running: 2, Capacity: 4, Cold: Cold{Remaining: 2 * time.Second, AdmissionDelay: 300 * time.Microsecond, AdmissionInterval: 58 * time.Millisecond}}
 	header := http.Header{}
 	report.Set(header)
 	read, ok := ReadReport(header)
 	is.True(ok)
-	is.Equal(read.Cold, Cold{Remaining: 2 * time.Second, Room: time.Millisecond, Interval: 58 * time.Millisecond})
+	is.Equal(read.Cold, Cold{Remaining: 2 * time.Second, AdmissionDelay: time.Millisecond, AdmissionInterval: 58 * time.Millisecond})
 	RemoveInternal(header)
 	is.Equal(len(header), 0)
 }
--- a/pkg/exchange/ended.go
+++ b/pkg/exchange/ended.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// BackendEnded reports whether an exchange with a back end failed because the back end's process
+// BackendCrashed reports whether an exchange with a back end failed because the back end's process
 // exited. A probe connection decides, within limit: a process that has exited refuses connections,
 // while one that aborted a response or reset connections still listens. Without a response to the
 // probe the back end counts as running.
-func BackendEnded(ctx context.Context, address string, cause error, limit time.Duration) bool {
-	if errors.Is(cause, ErrWrongAnswer) {
+func BackendCrashed(ctx context.Context, address string, cause error, limit time.Duration) bool {
+	if errors.Is(cause, ErrResponseMismatch) {
 		return false
 	}
 	// The HTTP transport may have retried on another connection.
--- a/pkg/exchange/exchange.go
+++ b/pkg/exchange/exchange.go
@@ -30,24 +30,24 @@
 	HeaderPriority = "Gate-Priority"
 	// HeaderWait is how many milliseconds a call may queue at a gate.
 	HeaderWait = "Gate-Wait-Ms"
-	// HeaderEarly is for how many more milliseconds a refusal leaves the caller time to retry elsewhere.
-	HeaderEarly = "Gate-Early-Ms"
+	// HeaderEarlyRefusal is for how many more milliseconds a refusal leaves the caller time to retry elsewhere.
+	HeaderEarlyRefusal = "Gate-Early-Ms"
 	// HeaderTarget is how many milliseconds remain until the call's target latency, zero if it has
 	// passed.
 	HeaderTarget = "Gate-Target-Ms"
 	// HeaderExpectedWork is the expected processing time of a call at the back end in microseconds,
 	// estimated from earlier calls of its route.
 	HeaderExpectedWork = "Gate-Expected-Work-Us"
-	// HeaderExpectedAnswer is the expected size of a call's response in bytes, estimated from
+	// HeaderExpectedResponse is the expected size of a call's response in bytes, estimated from
 	// earlier responses of its route. It is sent for large responses only.
-	HeaderExpectedAnswer = "Gate-Expected-Answer"
+	HeaderExpectedResponse = "Gate-Expected-Answer"
 	// HeaderLinkWait is the LinkWait of a gate's Report in milliseconds, if it is at least 1.
 	HeaderLinkWait = "Gate-Link-Wait-Ms"
 	// HeaderReport is a gate's Report.
 	HeaderReport = "Gate-Report"
-	// HeaderFailing is the Failing of a gate's Report in thousandths, if it is not 0. Nodes that do
+	// HeaderFailureRate is the FailureRate of a gate's Report in thousandths, if it is not 0. Nodes that do
 	// not know it read the rest of the report.
-	HeaderFailing = "Gate-Failing"
+	HeaderFailureRate = "Gate-Failing"
 	// HeaderSender is the ID and the Report of the back end beside the node that sends a call,
 	// while that back end has free capacity. Receivers may route calls to it.
 	HeaderSender = "Gate-Sender"
@@ -59,19 +59,19 @@
 	// HeaderRollout is the new version of a running rollout, on calls that are routed to it. A gate
 	// that does not know the rollout must reject them.
 	HeaderRollout = "Gate-Rollout"
-	// HeaderTellHeld asks a gate in another region to report in HeaderHeld how many microseconds it
+	// HeaderRequestHeld asks a gate in another region to report in HeaderHeld how many microseconds it
 	// held the call. The rest of the call's duration is network latency.
-	HeaderTellHeld = "Gate-Tell-Held"
-	HeaderHeld     = "Gate-Held-Us"
+	HeaderRequestHeld = "Gate-Tell-Held"
+	HeaderHeld        = "Gate-Held-Us"
 	// HeaderReason is why a gate refused a call, one of the Reason constants.
 	HeaderReason = "Gate-Reason"
 )
 
 // internalHeaders are removed from callers' requests and not forwarded to callers or back ends.
 var internalHeaders = []string{
-	HeaderOutcome, HeaderRetry, HeaderPriority, HeaderWait, HeaderReport, HeaderFailing, HeaderReason, HeaderWork,
-	HeaderExpectedWork, HeaderEarly, HeaderTarget, HeaderSender, HeaderCold, HeaderExpectedAnswer, HeaderLinkWait,
-	HeaderTellHeld, HeaderHeld, HeaderRoute, HeaderRollout, HeaderSent,
+	HeaderOutcome, HeaderRetry, HeaderPriority, HeaderWait, HeaderReport, HeaderFailureRate, HeaderReason, HeaderWork,
+	HeaderExpectedWork, HeaderEarlyRefusal, HeaderTarget, HeaderSender, HeaderCold, HeaderExpectedResponse, HeaderLinkWait,
+	HeaderRequestHeld, HeaderHeld, HeaderRoute, HeaderRollout, HeaderSent,
 }
 
 // RemoveInternal deletes the headers that are exchanged only between nodes and gates.
@@ -81,8 +81,8 @@
 	}
 }
 
-// ErrWrongAnswer reports a response that belongs to another call. Refusals carry its text to callers.
-var ErrWrongAnswer = errors.New("the answer is to another call")
+// ErrResponseMismatch reports a response that belongs to another call. Refusals carry its text to callers.
+var ErrResponseMismatch = errors.New("the answer is to another call")
 
 // Outcome states whether a refused call was run.
 type Outcome string
@@ -103,10 +103,10 @@
 	// ReasonLink means that the gate's link is too busy to transfer the call's body or response in
 	// time.
 	ReasonLink Reason = "link"
-	// ReasonAbsent means that no back end is present yet.
-	ReasonAbsent Reason = "absent"
-	// ReasonLeft means that the back end addressed by the call has been removed permanently.
-	ReasonLeft Reason = "left"
+	// ReasonNoBackend means that no back end is present yet.
+	ReasonNoBackend Reason = "absent"
+	// ReasonRemoved means that the back end addressed by the call has been removed permanently.
+	ReasonRemoved Reason = "left"
 	// ReasonStopping means that the gate's process is shutting down.
 	ReasonStopping Reason = "stopping"
 	// ReasonUnreachable means that no connection to the back end could be opened.
@@ -118,8 +118,8 @@
 	ReasonDeadline Reason = "deadline"
 	// ReasonBroken means that the exchange with the back end failed.
 	ReasonBroken Reason = "broken"
-	// ReasonEnded means that the back end's process exited while it was processing the call.
-	ReasonEnded Reason = "ended"
+	// ReasonCrashed means that the back end's process exited while it was processing the call.
+	ReasonCrashed Reason = "ended"
 	// ReasonQuarantined means that the same request has crashed back ends.
 	ReasonQuarantined Reason = "quarantined"
 	// ReasonEvacuated means that the back end's zone is evacuated.
@@ -137,7 +137,7 @@
 
 // Reached reports whether the back end may have received the call.
 func (r Reason) Reached() bool {
-	return r == ReasonDeclined || r == ReasonBroken || r == ReasonEnded || r == ReasonServerError
+	return r == ReasonDeclined || r == ReasonBroken || r == ReasonCrashed || r == ReasonServerError
 }
 
 // Busy reports whether the gate may admit the call a little later.
@@ -150,24 +150,24 @@
 	Queued  int
 	// Capacity is how many calls the back end processes concurrently.
 	Capacity int
-	// Service is the smoothed processing time of a call at the back end.
-	Service time.Duration
-	// Failing is the failure rate of the latest calls at the back end, from 0 to 1.
-	Failing float64
+	// ServiceTime is the smoothed processing time of a call at the back end.
+	ServiceTime time.Duration
+	// FailureRate is the failure rate of the latest calls at the back end, from 0 to 1.
+	FailureRate float64
 	// Cold is the cold start state of the back end.
 	Cold Cold
 	// LinkWait is how long the next large response waits for the gate's link.
 	LinkWait time.Duration
 }
 
-// failingScale is the factor between Failing and HeaderFailing.
-const failingScale = 1000
+// failureRateScale is the factor between FailureRate and HeaderFailureRate.
+const failureRateScale = 1000
 
 // Set writes the report to the headers of a response.
 func (r Report) Set(header http.Header) {
 	header.Set(HeaderReport, r.String())
-	if failing := int(r.Failing * failingScale); failing > 0 {
-		header.Set(HeaderFailing, strconv.Itoa(failing))
+	if failing := int(r.FailureRate * failureRateScale); failing > 0 {
+		header.Set(HeaderFailureRate, strconv.Itoa(failing))
 	}
 	r.Cold.Set(header)
 	if r.LinkWait >= time.Millisecond {
@@ -178,9 +178,9 @@
 // ReadReport reads the headers written by Report.Set, false if there is no valid report.
 func ReadReport(header http.Header) (Report, bool) {
 	report, ok := ParseReport(header.Get(HeaderReport))
-	failing, err := strconv.ParseUint(header.Get(HeaderFailing), 10, 16)
+	failing, err := strconv.ParseUint(header.Get(HeaderFailureRate), 10, 16)
 	if ok && err == nil {
-		report.Failing = min(1, float64(failing)/failingScale)
+		report.FailureRate = min(1, float64(failing)/failureRateScale)
 	}
 	if ok {
 		report.Cold = ReadCold(header)
@@ -198,9 +198,9 @@
 	return status >= http.StatusInternalServerError && status != http.StatusGatewayTimeout && status != http.StatusNotImplemented
 }
 
-// Outlived reports whether a status proves that the back end has processed a call without crashing.
+// ProvesCompletion reports whether a status proves that the back end has processed a call without crashing.
 // Rejections and server errors prove nothing: the back end may have sent them before it began.
-func Outlived(status int) bool {
+func ProvesCompletion(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests:
 		return false
@@ -210,7 +210,7 @@
 
 // String returns the report in the format of HeaderReport.
 func (r Report) String() string {
-	return fmt.Sprintf("%d,%d,%d,%d", r.Running, r.Queued, r.Capacity, r.Service.Microseconds())
+	return fmt.Sprintf("%d,%d,%d,%d", r.Running, r.Queued, r.Capacity, r.ServiceTime.Microseconds())
 }
 
 // ParseReport parses the value of HeaderReport.
@@ -229,7 +229,7 @@
 	}
 	return Report{
 		Running: values[0], Queued: values[1], Capacity: values[2],
-		Service: time.Duration(values[3]) * time.Microsecond,
+		ServiceTime: time.Duration(values[3]) * time.Microsecond,
 	}, true
 }
 
--- a/pkg/exchange/pacer.go
+++ b/pkg/exchange/pacer.go
@@ -43,9 +43,9 @@
 	return newPacer(bytesPerSecond, func(time.Duration) float64 { return share * bytesPerSecond }, now)
 }
 
-// NewAnswerPacer returns a pacer for large responses on a link with a rate in bits per second.
+// NewResponsePacer returns a pacer for large responses on a link with a rate in bits per second.
 // otherTraffic returns the rate of all other traffic in bytes per second.
-func NewAnswerPacer(bitsPerSecond float64, otherTraffic func(now time.Duration) float64, now func() time.Duration) *Pacer {
+func NewResponsePacer(bitsPerSecond float64, otherTraffic func(now time.Duration) float64, now func() time.Duration) *Pacer {
 	bytesPerSecond := bitsPerSecond / 8
 	return newPacer(bytesPerSecond, func(at time.Duration) float64 {
 		remaining := usableLinkShare*bytesPerSecond - otherTraffic(at)
@@ -74,10 +74,10 @@
 	return &pacedBody{ReadCloser: body, pacer: p, size: size, start: p.now(), maxDuration: maxDuration, due: due}
 }
 
-// Answer returns a response body of size bytes whose paced pieces follow those of the bodies
+// WrapResponse returns a response body of size bytes whose paced pieces follow those of the bodies
 // reserved before it. It is never slower than an even spread over maxDuration. Sending responses one
 // after the other lowers their mean completion time.
-func (p *Pacer) Answer(body io.ReadCloser, size int, maxDuration time.Duration) io.ReadCloser {
+func (p *Pacer) WrapResponse(body io.ReadCloser, size int, maxDuration time.Duration) io.ReadCloser {
 	if p == nil || size <= p.pieceBytes {
 		return body
 	}
--- a/pkg/exchange/pacer_test.go
+++ b/pkg/exchange/pacer_test.go
@@ -83,7 +83,7 @@
 	is := is.New(t)
 	p, c := newTestPacer(8)
 	newResponse := func(maxDuration time.Duration) io.ReadCloser {
-		return p.Answer(io.NopCloser(bytes.NewReader(make([]byte, 50_000))), 50_000, maxDuration)
+		return p.WrapResponse(io.NopCloser(bytes.NewReader(make([]byte, 50_000))), 50_000, maxDuration)
 	}
 	first, second := newResponse(time.Minute), newResponse(time.Minute)
 	_, err := io.ReadAll(first)
@@ -107,7 +107,7 @@
 	is.NoErr(err)
 	is.True(c.now > timeAtRequestShare(140_000) && c.now <= timeAtRequestShare(150_000)) // next, urgent and last
 	var none *Pacer
-	_, err = io.ReadAll(none.Answer(io.NopCloser(bytes.NewReader(make([]byte, 50_000))), 50_000, 0))
+	_, err = io.ReadAll(none.WrapResponse(io.NopCloser(bytes.NewReader(make([]byte, 50_000))), 50_000, 0))
 	is.NoErr(err)
 }
 
@@ -116,7 +116,7 @@
 	is := is.New(t)
 	for _, c := range []struct{ others, rate float64 }{{0, 920_000}, {150_000, 800_000}, {2e6, 400_000}} {
 		now := func() time.Duration { return 0 }
-		p := NewAnswerPacer(8e6, func(time.Duration) float64 { return c.others }, now)
+		p := NewResponsePacer(8e6, func(time.Duration) float64 { return c.others }, now)
 		_, linkTime := p.reserve(100_000)
 		is.Equal(linkTime, time.Duration(100_000/c.rate*float64(time.Second)))
 	}
--- a/pkg/forward/cold_test.go
+++ b/pkg/forward/cold_test.go
@@ -19,7 +19,7 @@
 // coldGate rejects calls as the gate of a cold back end without free capacity does.
 func coldGate(remaining time.Duration) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		exchange.Report{Capacity: 4, Cold: exchange.Cold{Remaining: remaining, Room: remaining, Interval: 50 * time.Millisecond}}.Set(w.Header())
+		exchange.Report{Capacity: 4, Cold: exchange.Cold{Remaining: remaining, AdmissionDelay: remaining, AdmissionInterval: 50 * time.Millisecond}}.Set(w.Header())
 		rejectWith(exchange.ReasonCold, NotRun)(w, r)
 	}
 }
--- a/pkg/forward/gate_choice.go
+++ b/pkg/forward/gate_choice.go
@@ -138,7 +138,7 @@
 }
 
 // largeResponse reports whether a large response is expected.
-func (g *gatedCall) largeResponse() bool { return g.responseBytes >= exchange.LargeAnswer }
+func (g *gatedCall) largeResponse() bool { return g.responseBytes >= exchange.LargeResponse }
 
 // targetLeft returns what is left of the target latency since the caller's first attempt, negative
 // if it has passed.
--- a/pkg/forward/gate_exchange.go
+++ b/pkg/forward/gate_exchange.go
@@ -107,7 +107,7 @@
 	name := g.handler.config.Headers.RequestID
 	if name != "" && response.Header.Get(name) != g.request.Header.Get(name) {
 		response.Body.Close()
-		return nil, &gateFailure{reason: exchange.ReasonBroken, outcome: Unknown, peer: ticket.Address, err: exchange.ErrWrongAnswer}
+		return nil, &gateFailure{reason: exchange.ReasonBroken, outcome: Unknown, peer: ticket.Address, err: exchange.ErrResponseMismatch}
 	}
 	data, rest, release, err := g.handler.config.ResponseBuffer.ReadWhole(response)
 	if err != nil {
@@ -141,11 +141,11 @@
 	}
 	if target := g.route.TargetLatency; target > 0 {
 		exchange.SetMillis(request.Header, exchange.HeaderTarget, g.targetLeft(g.now()))
-		exchange.SetMillis(request.Header, exchange.HeaderEarly, target/earlyDivisor-(g.now()-g.firstAttemptAt))
+		exchange.SetMillis(request.Header, exchange.HeaderEarlyRefusal, target/earlyDivisor-(g.now()-g.firstAttemptAt))
 	}
 	request.Header.Set(exchange.HeaderExpectedWork, strconv.FormatInt(g.serviceTime.Microseconds(), 10))
 	if g.largeResponse() {
-		request.Header.Set(exchange.HeaderExpectedAnswer, strconv.Itoa(g.responseBytes))
+		request.Header.Set(exchange.HeaderExpectedResponse, strconv.Itoa(g.responseBytes))
 	}
 	if g.attempts > 0 {
 		request.Header.Set(exchange.HeaderRetry, "1")
--- a/pkg/forward/gated.go
+++ b/pkg/forward/gated.go
@@ -179,9 +179,9 @@
 		ticket.Eject(now, pause)
 	case exchange.ReasonStopping:
 		ticket.Eject(now, stoppingPause)
-	case exchange.ReasonLeft:
+	case exchange.ReasonRemoved:
 		ticket.MarkLeaving()
-	case exchange.ReasonAbsent:
+	case exchange.ReasonNoBackend:
 		ticket.Eject(now, absentPause)
 	case exchange.ReasonVersion:
 		ticket.Eject(now, versionPause)
@@ -192,7 +192,7 @@
 	case exchange.ReasonRegion:
 		// Not counted as an attempt either, but the gate may serve other calls.
 		g.countedAttempts--
-	case exchange.ReasonBroken, exchange.ReasonEnded:
+	case exchange.ReasonBroken, exchange.ReasonCrashed:
 		if g.request.Context().Err() == nil && now < g.deadline {
 			g.recordVersionResult(ticket, true)
 			outcome = balancer.Failed
--- a/pkg/forward/gated_test.go
+++ b/pkg/forward/gated_test.go
@@ -122,7 +122,7 @@
 // A gate's rejection is no attempt at a back end: the next gate is attempted with an empty retry
 // budget, also for unsafe calls.
 func TestGateRejectionsDoNotUseTheRetryBudget(t *testing.T) {
-	for _, reason := range []exchange.Reason{exchange.ReasonFull, exchange.ReasonAbsent, exchange.ReasonLeft, exchange.ReasonStopping, exchange.ReasonUnreachable} {
+	for _, reason := range []exchange.Reason{exchange.ReasonFull, exchange.ReasonNoBackend, exchange.ReasonRemoved, exchange.ReasonStopping, exchange.ReasonUnreachable} {
 		t.Run(string(reason), func(t *testing.T) {
 			is := is.New(t)
 			rejecting, rejected := fakeGate(t, rejectWith(reason, NotRun))
@@ -132,7 +132,7 @@
 				is.Equal(n.call(t, "POST", "/unsafe/x", "body").StatusCode, http.StatusOK)
 			}
 			is.Equal(served.Load(), int64(10))
-			if reason == exchange.ReasonLeft {
+			if reason == exchange.ReasonRemoved {
 				is.True(rejected.Load() <= 1) // it is not attempted again
 			}
 		})
--- a/pkg/forward/handler.go
+++ b/pkg/forward/handler.go
@@ -80,7 +80,7 @@
 	// ResponsePacer, if set, paces large responses.
 	ResponsePacer *exchange.Pacer
 	// ResponseBuffer, if set, limits the memory for buffered responses.
-	ResponseBuffer *exchange.AnswerBuffer
+	ResponseBuffer *exchange.ResponseBuffer
 	// Quarantine matches suspect and quarantined requests; nil matches none.
 	Quarantine *quarantine.Filter
 	// OnCrash, if set, is called when a back end without a gate crashed during a call, OnSuspectResponse when
--- a/pkg/forward/large_response_test.go
+++ b/pkg/forward/large_response_test.go
@@ -21,7 +21,7 @@
 		is := is.New(t)
 		var expected atomic.Pointer[string]
 		gate, _ := fakeGate(t, func(w http.ResponseWriter, r *http.Request) {
-			header := r.Header.Get(exchange.HeaderExpectedAnswer)
+			header := r.Header.Get(exchange.HeaderExpectedResponse)
 			expected.Store(&header)
 			w.Header().Set(exchange.HeaderWork, "1000")
 			w.Header().Set("Call-Id", r.Header.Get("Call-Id"))
@@ -30,7 +30,7 @@
 		n := newGatedNode(t, 0, gate)
 		is.Equal(n.call(t, "GET", "/safe/x", "").StatusCode, http.StatusOK)
 		is.Equal(*expected.Load(), "") // the response size is not known yet
-		is.Equal(n.call(t, "GET", "/safe/x", "", exchange.HeaderExpectedAnswer, "7").StatusCode, http.StatusOK)
+		is.Equal(n.call(t, "GET", "/safe/x", "", exchange.HeaderExpectedResponse, "7").StatusCode, http.StatusOK)
 		is.Equal(*expected.Load(), wantHeader) // the caller's header is dropped
 	}
 }
--- a/pkg/forward/pacing.go
+++ b/pkg/forward/pacing.go
@@ -10,10 +10,10 @@
 // paceResponse spreads a large response over time, since it shares the link with calls, rejections
 // and control traffic.
 func (g *gatedCall) paceResponse(response *http.Response, reserved bool) {
-	if response.ContentLength < exchange.LargeAnswer {
+	if response.ContentLength < exchange.LargeResponse {
 		return
 	}
-	response.Body = g.handler.config.ResponsePacer.Answer(response.Body, int(response.ContentLength), g.responseTransferTime())
+	response.Body = g.handler.config.ResponsePacer.WrapResponse(response.Body, int(response.ContentLength), g.responseTransferTime())
 	response.Body = g.handler.config.Link.WrapResponse(response.Body, reserved)
 }
 
--- a/pkg/forward/quarantine.go
+++ b/pkg/forward/quarantine.go
@@ -32,7 +32,7 @@
 // reportCrash reports a crash of a back end without a gate during the call. Restarts within one
 // incarnation count once.
 func (c *call) reportCrash(ctx context.Context, ticket *balancer.Ticket, cause error) {
-	if c.handler.config.OnCrash == nil || !exchange.BackendEnded(ctx, ticket.Address, cause, crashCheckTimeout) {
+	if c.handler.config.OnCrash == nil || !exchange.BackendCrashed(ctx, ticket.Address, cause, crashCheckTimeout) {
 		return
 	}
 	c.handler.config.OnCrash(quarantine.End{
@@ -43,7 +43,7 @@
 
 // reportSurvival reports that a back end without a gate responded to a suspect request.
 func (c *call) reportSurvival(status int) {
-	if c.handler.config.OnSuspectResponse == nil || !exchange.Outlived(status) {
+	if c.handler.config.OnSuspectResponse == nil || !exchange.ProvesCompletion(status) {
 		return
 	}
 	if match := c.matchQuarantine(c.body.data); match.Standing != quarantine.Unsuspected && !match.Answered {
--- a/pkg/forward/quarantine_test.go
+++ b/pkg/forward/quarantine_test.go
@@ -59,7 +59,7 @@
 // Guards against retrying a suspect request, which might crash another back end.
 func TestSuspectRequestIsNotRetried(t *testing.T) {
 	is := is.New(t)
-	crashing := rejectWith(exchange.ReasonEnded, Unknown)
+	crashing := rejectWith(exchange.ReasonCrashed, Unknown)
 	first, firstCalls := fakeGate(t, crashing)
 	second, secondCalls := fakeGate(t, crashing)
 	n := newGatedNodeWith(t, func(cfg *Config) {
--- a/pkg/forward/region_delays.go
+++ b/pkg/forward/region_delays.go
@@ -72,7 +72,7 @@
 // body are left out, because their own transfer dominates the delay.
 func (g *gatedCall) requestHeldTime(ticket *balancer.Ticket, request *http.Request) {
 	if ticket.OtherRegion() != "" && g.body.Size() <= largeBodyBytes {
-		request.Header.Set(exchange.HeaderTellHeld, "1")
+		request.Header.Set(exchange.HeaderRequestHeld, "1")
 	}
 }
 
--- a/pkg/forward/region_delays_test.go
+++ b/pkg/forward/region_delays_test.go
@@ -101,7 +101,7 @@
 		wait := delay
 		mu.Unlock()
 		time.Sleep(wait)
-		if r.Header.Get(exchange.HeaderTellHeld) != "" {
+		if r.Header.Get(exchange.HeaderRequestHeld) != "" {
 			w.Header().Set(exchange.HeaderHeld, "0")
 		}
 		respondOK(w, r)
--- a/pkg/forward/retry_after_test.go
+++ b/pkg/forward/retry_after_test.go
@@ -26,7 +26,7 @@
 // failureRate.
 func decliningGate(reason exchange.Reason, failureRate float64) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
-		exchange.Report{Running: 3, Capacity: 8, Service: 10 * time.Millisecond, Failing: failureRate}.Set(w.Header())
+		exchange.Report{Running: 3, Capacity: 8, ServiceTime: 10 * time.Millisecond, FailureRate: failureRate}.Set(w.Header())
 		rejectWith(reason, NotRun)(w, nil)
 	}
 }
@@ -63,7 +63,7 @@
 			_, _ = io.WriteString(w, strings.Repeat("x", 50_000))
 			return
 		}
-		exchange.Report{Capacity: 8, Service: 10 * time.Millisecond, LinkWait: wait}.Set(w.Header())
+		exchange.Report{Capacity: 8, ServiceTime: 10 * time.Millisecond, LinkWait: wait}.Set(w.Header())
 		rejectWith(exchange.ReasonLink, NotRun)(w, nil)
 	}
 }
--- a/pkg/gate/admission.go
+++ b/pkg/gate/admission.go
@@ -54,7 +54,7 @@
 	g.backend, g.present = backend, true
 	g.generation++
 	g.running, g.serviceTime, g.slowdown, g.health, g.unreachableUntil = 0, 0, slowdown{}, health{}, 0
-	g.dropWaiting(exchange.ReasonAbsent)
+	g.dropWaiting(exchange.ReasonNoBackend)
 	now := g.config.Now()
 	g.cold.assumeNew(now)
 	g.reportedCold = false
@@ -72,7 +72,7 @@
 		return
 	}
 	g.present, g.departedID = false, id
-	g.dropWaiting(exchange.ReasonAbsent)
+	g.dropWaiting(exchange.ReasonNoBackend)
 	g.applyRollout()
 }
 
@@ -88,7 +88,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.stopping = true
-	g.dropWaiting(exchange.ReasonAbsent)
+	g.dropWaiting(exchange.ReasonNoBackend)
 }
 
 // dropWaiting rejects all queued calls with reason. g.mu must be held.
@@ -208,9 +208,9 @@
 	case g.stopping:
 		return exchange.ReasonStopping
 	case req.instance != "" && req.instance == g.departedID:
-		return exchange.ReasonLeft
+		return exchange.ReasonRemoved
 	case !g.present || (req.instance != "" && req.instance != g.backend.ID):
-		return exchange.ReasonAbsent
+		return exchange.ReasonNoBackend
 	case g.closed.reason != "":
 		return g.closed.reason
 	case now < g.unreachableUntil:
@@ -366,6 +366,6 @@
 	g.reportColdChange(now)
 	return exchange.Report{
 		Running: g.running, Queued: len(g.queue) + g.receiving, Capacity: max(1, g.backend.Capacity),
-		Service: g.serviceTime, Failing: g.health.failing(now), Cold: g.coldReport(now), LinkWait: g.reportedLinkWait(),
+		ServiceTime: g.serviceTime, FailureRate: g.health.failing(now), Cold: g.coldReport(now), LinkWait: g.reportedLinkWait(),
 	}
 }
--- a/pkg/gate/closing_test.go
+++ b/pkg/gate/closing_test.go
@@ -90,8 +90,8 @@
 	g.SetBackend(Backend{ID: "i2", Capacity: 1, Zone: "a"})
 	is.Equal(g.Closed(), exchange.ReasonEvacuated)
 	_, reason = g.admitOne()
-	is.Equal(reason, exchange.ReasonLeft) // i1 has left: that reason takes precedence
-	g.RemoveBackend("i2")                 // i2 leaves during the evacuation
+	is.Equal(reason, exchange.ReasonRemoved) // i1 has left: that reason takes precedence
+	g.RemoveBackend("i2")                    // i2 leaves during the evacuation
 	is.Equal(g.Closed(), exchange.Reason(""))
 	g.SetBackend(Backend{ID: "i3", Capacity: 1, Zone: "b"}) // i3 runs in another zone
 	is.Equal(g.Closed(), exchange.Reason(""))
--- a/pkg/gate/crash_test.go
+++ b/pkg/gate/crash_test.go
@@ -58,7 +58,7 @@
 		crash  bool
 		reason exchange.Reason
 	}{
-		"the back end ends":             {true, exchange.ReasonEnded},
+		"the back end ends":             {true, exchange.ReasonCrashed},
 		"it only closes the connection": {false, exchange.ReasonBroken},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/pkg/gate/gate.go
+++ b/pkg/gate/gate.go
@@ -52,7 +52,7 @@
 	// ResponsePacer paces large responses.
 	ResponsePacer *exchange.Pacer
 	// ResponseBuffer limits the memory for buffered large responses.
-	ResponseBuffer *exchange.AnswerBuffer
+	ResponseBuffer *exchange.ResponseBuffer
 	// Quarantine matches requests that must not reach the back end; nil matches none.
 	Quarantine *quarantine.Filter
 	// OnCrash is called when the back end crashes during a call, OnSuspectResponse when it responds to a
@@ -285,12 +285,12 @@
 	}
 	req.wait, _ = exchange.ReadMillis(header, exchange.HeaderWait)
 	req.earlyWait = req.wait
-	if early, set := exchange.ReadMillis(header, exchange.HeaderEarly); set {
+	if early, set := exchange.ReadMillis(header, exchange.HeaderEarlyRefusal); set {
 		req.earlyWait = early
 	}
 	req.work, _ = exchange.ReadMicros(header, exchange.HeaderExpectedWork)
 	req.targetLeft, req.targeted = exchange.ReadMillis(header, exchange.HeaderTarget)
-	if size, err := strconv.ParseInt(header.Get(exchange.HeaderExpectedAnswer), 10, 64); err == nil && size > 0 {
+	if size, err := strconv.ParseInt(header.Get(exchange.HeaderExpectedResponse), 10, 64); err == nil && size > 0 {
 		req.expectedResponse = size
 	}
 	req.hint.target = header.Get(exchange.HeaderRollout)
@@ -345,7 +345,7 @@
 	call.Service = g.config.Now() - adm.admittedAt
 	if err != nil {
 		cancel()
-		if delivery.MayHaveArrived() && r.Context().Err() == nil && exchange.BackendEnded(r.Context(), adm.backend.Address, err, crashCheckTimeout) {
+		if delivery.MayHaveArrived() && r.Context().Err() == nil && exchange.BackendCrashed(r.Context(), adm.backend.Address, err, crashCheckTimeout) {
 			g.reportCrash(r, body, adm, call)
 		}
 		return g.failed(call, adm, delivery.MayHaveArrived(), r.Context(), req.deadline, err)
@@ -415,7 +415,7 @@
 		return nil
 	}
 	response.Body.Close()
-	return exchange.ErrWrongAnswer
+	return exchange.ErrResponseMismatch
 }
 
 // declined reports whether the back end states that it has not started the call.
--- a/pkg/gate/gate_cold.go
+++ b/pkg/gate/gate_cold.go
@@ -176,7 +176,7 @@
 	}
 	cold := exchange.Cold{Remaining: remaining}
 	if g.cold.limited(now) {
-		cold.Room, cold.Interval = g.cold.wait(now, len(g.queue)), g.cold.rate.interval()
+		cold.AdmissionDelay, cold.AdmissionInterval = g.cold.wait(now, len(g.queue)), g.cold.rate.interval()
 	}
 	return cold
 }
--- a/pkg/gate/gate_test.go
+++ b/pkg/gate/gate_test.go
@@ -174,8 +174,8 @@
 	g.RemoveBackend("other")
 	is.Equal(g.Report().Queued, 1) // removing another back end has no effect
 	g.RemoveBackend("b1")
-	is.Equal(<-waiting, exchange.ReasonAbsent)
-	is.Equal(reasonOf(do(g, newCall(t, "GET", "new", "Want", "b1"))), exchange.ReasonLeft)
+	is.Equal(<-waiting, exchange.ReasonNoBackend)
+	is.Equal(reasonOf(do(g, newCall(t, "GET", "new", "Want", "b1"))), exchange.ReasonRemoved)
 	close(release)
 	group.Wait()
 	is.Equal(calls.Load(), int64(1))
@@ -189,10 +189,10 @@
 		return true
 	})
 	g := newGateFor(address, 2)
-	is.Equal(reasonOf(do(g, newCall(t, "GET", "a", "Want", "b0"))), exchange.ReasonAbsent)
+	is.Equal(reasonOf(do(g, newCall(t, "GET", "a", "Want", "b0"))), exchange.ReasonNoBackend)
 	is.Equal(do(g, newCall(t, "GET", "a", "Want", "b1")).StatusCode, http.StatusOK)
 	g.SetBackend(Backend{ID: "b2", Address: address, Capacity: 2})
-	is.Equal(reasonOf(do(g, newCall(t, "GET", "a", "Want", "b1"))), exchange.ReasonLeft)
+	is.Equal(reasonOf(do(g, newCall(t, "GET", "a", "Want", "b1"))), exchange.ReasonRemoved)
 	is.Equal(calls.Load(), int64(1))
 }
 
--- a/pkg/gate/health_test.go
+++ b/pkg/gate/health_test.go
@@ -37,7 +37,7 @@
 		report, _ = exchange.ReadReport(response.Header)
 		response.Body.Close()
 	}
-	return report.Failing
+	return report.FailureRate
 }
 
 // A gate must report every kind of failure of its back end, and must not take quick errors for fast
@@ -95,6 +95,6 @@
 		report, _ := exchange.ReadReport(response.Header)
 		return report
 	}
-	is.Equal(send("2000", 20*time.Millisecond).Failing, 0.0)
-	is.True(send("20", 25*time.Millisecond).Failing > 0)
+	is.Equal(send("2000", 20*time.Millisecond).FailureRate, 0.0)
+	is.True(send("20", 25*time.Millisecond).FailureRate > 0)
 }
--- a/pkg/gate/outbound.go
+++ b/pkg/gate/outbound.go
@@ -63,7 +63,7 @@
 	switch {
 	case method == http.MethodHead || response.Header.Get(exchange.HeaderOutcome) != "":
 		g.outbound.adjust(now, -reserved)
-	case size >= exchange.LargeAnswer:
+	case size >= exchange.LargeResponse:
 		// The transfer ends at the call's deadline at the latest.
 		duration := min(g.outbound.duration(now, size), max(0, req.deadline-now))
 		until := g.outbound.adjust(now, duration-reserved)
@@ -116,10 +116,10 @@
 // paceResponse paces a large response to another node; held is how long the call has been at the
 // gate.
 func (g *Gate) paceResponse(r *http.Request, response *http.Response, held time.Duration) {
-	if response.ContentLength < exchange.LargeAnswer {
+	if response.ContentLength < exchange.LargeResponse {
 		return
 	}
-	paced := g.config.ResponsePacer.Answer(response.Body, int(response.ContentLength), g.transferTime(r, held))
+	paced := g.config.ResponsePacer.WrapResponse(response.Body, int(response.ContentLength), g.transferTime(r, held))
 	response.Body = g.config.Link.WrapResponse(paced, true)
 }
 
--- a/pkg/gate/outbound_test.go
+++ b/pkg/gate/outbound_test.go
@@ -38,7 +38,7 @@
 	t.Helper()
 	started := time.Now()
 	now := func() time.Duration { return time.Since(started) }
-	g := New(Config{Headers: testHeaders, Now: now, Link: link.NewMeter(8e6), ResponsePacer: exchange.NewAnswerPacer(8e6, noOtherTraffic, now)})
+	g := New(Config{Headers: testHeaders, Now: now, Link: link.NewMeter(8e6), ResponsePacer: exchange.NewResponsePacer(8e6, noOtherTraffic, now)})
 	g.SetBackend(Backend{ID: "b1", Address: largeResponseServer(t), Capacity: capacity})
 	return g
 }
@@ -55,7 +55,7 @@
 func TestLargeResponseThatWouldBeLateIsRejectedBeforeTheCallRuns(t *testing.T) {
 	is := is.New(t)
 	g := newGateWithLink(t, 8)
-	large := []string{exchange.HeaderExpectedAnswer, "400000", exchange.HeaderTarget, "1300", "Want-Bytes", "400000"}
+	large := []string{exchange.HeaderExpectedResponse, "400000", exchange.HeaderTarget, "1300", "Want-Bytes", "400000"}
 	for _, id := range []string{"first", "second"} {
 		is.Equal(get(t, g, id, large...).StatusCode, http.StatusOK)
 	}
@@ -83,7 +83,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			g := newGateWithLink(t, 8)
-			get(t, g, "x", append([]string{exchange.HeaderExpectedAnswer, "400000", exchange.HeaderTarget, "1300"}, test.header...)...)
+			get(t, g, "x", append([]string{exchange.HeaderExpectedResponse, "400000", exchange.HeaderTarget, "1300"}, test.header...)...)
 			wait := g.outbound.wait(g.config.Now())
 			is.True(wait <= test.maxWait)
 			is.Equal(wait > 300*time.Millisecond, test.maxWait == time.Second)
@@ -104,8 +104,8 @@
 func TestLateCallGetsOnlyAFreeLink(t *testing.T) {
 	is := is.New(t)
 	g := newGateWithLink(t, 8)
-	is.Equal(get(t, g, "x", exchange.HeaderExpectedAnswer, "400000", exchange.HeaderTarget, "1300", "Want-Bytes", "400000").StatusCode, http.StatusOK)
-	late := get(t, g, "late", exchange.HeaderExpectedAnswer, "400000", exchange.HeaderTarget, "0", "Want-Bytes", "400000")
+	is.Equal(get(t, g, "x", exchange.HeaderExpectedResponse, "400000", exchange.HeaderTarget, "1300", "Want-Bytes", "400000").StatusCode, http.StatusOK)
+	late := get(t, g, "late", exchange.HeaderExpectedResponse, "400000", exchange.HeaderTarget, "0", "Want-Bytes", "400000")
 	is.Equal(reasonOf(late), exchange.ReasonLink)
 }
 
@@ -162,7 +162,7 @@
 func TestResponsesBeyondTheBufferLimitAreStreamed(t *testing.T) {
 	is := is.New(t)
 	g := newGateWithLink(t, 1)
-	g.config.ResponseBuffer = exchange.NewAnswerBuffer(150_000)
+	g.config.ResponseBuffer = exchange.NewResponseBuffer(150_000)
 	first := get(t, g, "first", "Want-Bytes", "200000")
 	is.Equal(g.config.ResponseBuffer.Held(), int64(200_000))
 	second := get(t, g, "second", "Want-Bytes", "200000")
--- a/pkg/gate/quarantine.go
+++ b/pkg/gate/quarantine.go
@@ -37,7 +37,7 @@
 // reportCrash reports that the back end crashed during a call. The fingerprint is computed only
 // here, so that successful calls do not pay for it.
 func (g *Gate) reportCrash(r *http.Request, body *exchange.Body, adm admission, call *Call) {
-	call.Reason, call.Fingerprint = exchange.ReasonEnded, quarantine.FingerprintOf(r, body.Data())
+	call.Reason, call.Fingerprint = exchange.ReasonCrashed, quarantine.FingerprintOf(r, body.Data())
 	if g.config.OnCrash == nil {
 		return
 	}
@@ -46,7 +46,7 @@
 
 // reportResponse reports that the back end responded to a watched request.
 func (g *Gate) reportResponse(r *http.Request, body *exchange.Body, adm admission, status int) {
-	if g.config.OnSuspectResponse == nil || !exchange.Outlived(status) {
+	if g.config.OnSuspectResponse == nil || !exchange.ProvesCompletion(status) {
 		return
 	}
 	match := g.matchQuarantine(r, body, adm)
--- a/pkg/gate/receive_test.go
+++ b/pkg/gate/receive_test.go
@@ -97,5 +97,5 @@
 	g.finishReceiving()
 	is.Equal(g.Report().Queued, 0)
 	g.RemoveBackend("b1")
-	is.Equal(g.startReceiving(request{instance: "b1", deadline: time.Hour}), exchange.ReasonLeft)
+	is.Equal(g.startReceiving(request{instance: "b1", deadline: time.Hour}), exchange.ReasonRemoved)
 }
--- a/pkg/gate/region.go
+++ b/pkg/gate/region.go
@@ -17,7 +17,7 @@
 // setHeldTime adds the time that a call spent at the gate to the response, if the sender asks for
 // it.
 func (g *Gate) setHeldTime(sent, response http.Header, arrived time.Duration) {
-	if sent.Get(exchange.HeaderTellHeld) == "" {
+	if sent.Get(exchange.HeaderRequestHeld) == "" {
 		return
 	}
 	response.Set(exchange.HeaderHeld, strconv.FormatInt((g.config.Now()-arrived).Microseconds(), 10))
--- a/pkg/gate/sender_test.go
+++ b/pkg/gate/sender_test.go
@@ -25,7 +25,7 @@
 		g.ServeHTTP(httptest.NewRecorder(), r)
 	}
 	is.Equal(reported, map[string]exchange.Sender{
-		"orders": {ID: "b7", Report: exchange.Report{Running: 3, Capacity: 4, Service: 1500 * time.Microsecond}},
+		"orders": {ID: "b7", Report: exchange.Report{Running: 3, Capacity: 4, ServiceTime: 1500 * time.Microsecond}},
 	})
 }
 
--- a/pkg/proxy/observer.go
+++ b/pkg/proxy/observer.go
@@ -80,7 +80,7 @@
 	gauge("bramblelift_gate_capacity", "Calls that the back end works on at once.", func(r exchange.Report) float64 { return float64(r.Capacity) })
 	gauge("bramblelift_gate_link_wait_seconds", "For how long the next large answer waits for the machine's link.",
 		func(r exchange.Report) float64 { return r.LinkWait.Seconds() })
-	gauge("bramblelift_gate_failing_ratio", "Share of the latest calls that the back end failed.", func(r exchange.Report) float64 { return r.Failing })
+	gauge("bramblelift_gate_failing_ratio", "Share of the latest calls that the back end failed.", func(r exchange.Report) float64 { return r.FailureRate })
 	gauge("bramblelift_gate_cold_seconds", "For how much longer the back end is cold; zero if it is warm.",
 		func(r exchange.Report) float64 { return r.Cold.Remaining.Seconds() })
 }
@@ -142,7 +142,7 @@
 }
 
 // registerLargeResponses registers how much of the machine's link and of memory large bodies and responses use.
-func (o *observer) registerLargeResponses(registry prometheus.Registerer, m *link.Meter, buffer *exchange.AnswerBuffer) {
+func (o *observer) registerLargeResponses(registry prometheus.Registerer, m *link.Meter, buffer *exchange.ResponseBuffer) {
 	for direction, read := range map[string]func() int64{"received": m.ScheduledBodyBytesReceived, "sent": m.LargeResponseBytesSent} {
 		registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 			Name: "bramblelift_link_large_bytes_total", Help: "Bytes of large request bodies received and of large answers sent.",
--- a/pkg/proxy/proxy.go
+++ b/pkg/proxy/proxy.go
@@ -80,7 +80,7 @@
 	// responsePacer limits the rate of large responses of the node and its gate; nil for no limit.
 	responsePacer *exchange.Pacer
 	// responseBuffer bounds the memory for large responses of the node and its gate.
-	responseBuffer *exchange.AnswerBuffer
+	responseBuffer *exchange.ResponseBuffer
 	inFlight       inFlightCalls
 	stopping       atomic.Bool
 	saveFailed     chan error
@@ -111,9 +111,9 @@
 // New opens the node's listeners and loads its saved configuration. newPlatformHandler, if not nil,
 // returns the handler served at config.InterfaceListen.
 func New(config settings.Proxy, logger log.Logger, newPlatformHandler func(*Server) http.Handler) (*Server, error) {
-	s := &Server{settings: config, logger: logger, clock: clock.New(), link: link.NewMeter(config.LinkMegabits * megabit), responseBuffer: exchange.NewAnswerBuffer(maxBufferedResponseBytes), saveFailed: make(chan error, 1)}
+	s := &Server{settings: config, logger: logger, clock: clock.New(), link: link.NewMeter(config.LinkMegabits * megabit), responseBuffer: exchange.NewResponseBuffer(maxBufferedResponseBytes), saveFailed: make(chan error, 1)}
 	if config.LinkMegabits > 0 {
-		s.responsePacer = exchange.NewAnswerPacer(config.LinkMegabits*megabit, s.link.UnpacedRate, s.clock.Now)
+		s.responsePacer = exchange.NewResponsePacer(config.LinkMegabits*megabit, s.link.UnpacedRate, s.clock.Now)
 	}
 	s.quotas = quota.NewLimiter(quota.Config{Window: config.Quotas.Policy().Window, Life: rand.Uint64(), OnSurge: func() { s.controlClient.PingSoon() }})
 	if err := s.openStore(); err != nil {
