--- a/pkg/control/rollout.go
+++ b/pkg/control/rollout.go
@@ -62,7 +62,7 @@
 		case <-ctx.Done():
 			return
 		case reports := <-s.rolloutReports:
-			c.pendingReports = protocol.NewestRollouts(c.pendingReports, reports)
+			c.pendingReports = protocol.MergeRolloutReports(c.pendingReports, reports)
 			if !c.idle {
 				continue
 			}
--- a/pkg/protocol/rollout.go
+++ b/pkg/protocol/rollout.go
@@ -24,9 +24,9 @@
 	AtWork int
 }
 
-// NewestRollouts merges reports into a list, in which each replaces the earlier one of the same
+// MergeRolloutReports merges reports into a list, in which each replaces the earlier one of the same
 // node and service.
-func NewestRollouts(list, more []RolloutReport) []RolloutReport {
+func MergeRolloutReports(list, more []RolloutReport) []RolloutReport {
 	if len(more) == 0 {
 		return list
 	}
--- a/pkg/protocol/rollout_test.go
+++ b/pkg/protocol/rollout_test.go
@@ -14,10 +14,10 @@
 	report := func(node, service string, share int) RolloutReport {
 		return RolloutReport{Node: node, Service: service, Share: share}
 	}
-	list := NewestRollouts(nil, []RolloutReport{report("a", "s", 1), report("b", "s", 1), report("a", "t", 1)})
-	list = NewestRollouts(list, []RolloutReport{report("a", "s", 2), report("c", "s", 1)})
+	list := MergeRolloutReports(nil, []RolloutReport{report("a", "s", 1), report("b", "s", 1), report("a", "t", 1)})
+	list = MergeRolloutReports(list, []RolloutReport{report("a", "s", 2), report("c", "s", 1)})
 	is.Equal(list, []RolloutReport{report("a", "s", 2), report("b", "s", 1), report("a", "t", 1), report("c", "s", 1)})
-	is.Equal(len(NewestRollouts(list, nil)), 4)
+	is.Equal(len(MergeRolloutReports(list, nil)), 4)
 	is.True(!Announce{Rollouts: list}.Empty())
 }
 
--- a/pkg/relay/announced.go
+++ b/pkg/relay/announced.go
@@ -29,7 +29,7 @@
 		return false
 	}
 	q.pending.Endpoints = append(q.pending.Endpoints, announced.Endpoints...)
-	q.pending.Rollouts = protocol.NewestRollouts(q.pending.Rollouts, announced.Rollouts)
+	q.pending.Rollouts = protocol.MergeRolloutReports(q.pending.Rollouts, announced.Rollouts)
 	if announced.Evidence != nil {
 		joined := evidence.Join(*announced.Evidence)
 		q.pending.Evidence = &joined
