--- a/pkg/bench/load/load.go
+++ b/pkg/bench/load/load.go
@@ -137,7 +137,7 @@
 
 // verifyBody compares a response body with the expected one and sets Whole and Foreign.
 func verifyBody(call *history.Call, body []byte, length int) {
-	want := standin.AnswerBody(call.ID, length)
+	want := standin.ResponseBody(call.ID, length)
 	call.Whole = bytes.Equal(body, want)
 	if !call.Whole && !strings.HasPrefix(string(want), string(body)) {
 		call.Foreign = true
--- a/pkg/bench/standin/backend.go
+++ b/pkg/bench/standin/backend.go
@@ -46,8 +46,8 @@
 	ColdFor time.Duration
 	// LoadLag is the update period of the reported load; zero disables updates.
 	LoadLag time.Duration
-	// Lies makes the back end report an inverted load.
-	Lies bool
+	// InvertLoad makes the back end report an inverted load.
+	InvertLoad bool
 }
 
 // Backend is a running simulated back end.
@@ -78,10 +78,10 @@
 const (
 	// BeforeWork is after the call is received and before processing starts.
 	BeforeWork Stage = iota
-	// BeforeAnswer is after processing and before the first byte of the response.
-	BeforeAnswer
-	// InAnswer is after half of the response body.
-	InAnswer
+	// BeforeResponse is after processing and before the first byte of the response.
+	BeforeResponse
+	// DuringResponse is after half of the response body.
+	DuringResponse
 )
 
 // StartBackend starts a back end that records its executions in the given history, which
@@ -177,7 +177,7 @@
 	if !b.work(r) {
 		return
 	}
-	b.crashIf(id, BeforeAnswer)
+	b.crashIf(id, BeforeResponse)
 	b.respond(w, r, id)
 }
 
@@ -225,7 +225,7 @@
 	if err != nil {
 		length = len(id) + 1
 	}
-	body := AnswerBody(id, length)
+	body := ResponseBody(id, length)
 	if id == "" {
 		// A call without an ID comes from a person, for example with curl.
 		body = fmt.Appendf(nil, "%s answers %s %s\n", b.Config.Name, r.Method, r.URL.Path)
@@ -242,22 +242,22 @@
 	b.mu.Unlock()
 	if hasFault {
 		_ = http.NewResponseController(w).Flush()
-		b.crashIf(id, InAnswer)
+		b.crashIf(id, DuringResponse)
 	}
 	_, _ = w.Write(body[half:])
 }
 
 func (b *Backend) loadReport() string {
 	load := float64(b.reportedInFlight.Load()) / float64(max(b.Config.Slots, 1))
-	if b.Config.Lies {
+	if b.Config.InvertLoad {
 		load = 1 - min(load, 1)
 	}
 	return strconv.FormatFloat(min(load, 1), 'f', 2, 64)
 }
 
-// AnswerBody returns the expected response body of a call: its ID, repeated and truncated
+// ResponseBody returns the expected response body of a call: its ID, repeated and truncated
 // to length bytes.
-func AnswerBody(id string, length int) []byte {
+func ResponseBody(id string, length int) []byte {
 	text := id + ";"
 	return []byte(strings.Repeat(text, length/len(text)+1)[:length])
 }
--- a/test/integration/node_test.go
+++ b/test/integration/node_test.go
@@ -191,7 +191,7 @@
 	}
 	for _, backend := range s.backends.All {
 		backend.SetFault(func(callID string, stage standin.Stage) bool {
-			if stage == standin.BeforeAnswer && callID[len(callID)-1]%3 == 0 {
+			if stage == standin.BeforeResponse && callID[len(callID)-1]%3 == 0 {
 				time.Sleep(50 * time.Millisecond)
 			}
 			return false
