--- a/pkg/bench/check/check.go
+++ b/pkg/bench/check/check.go
@@ -47,7 +47,7 @@
 			found = append(found, Violation{InvariantWholeResponse, "call " + call.ID + " got another call's answer"})
 			continue
 		}
-		if call.Answered() && !call.Whole && call.Error == "" {
+		if call.Answered() && !call.Complete && call.Error == "" {
 			found = append(found, Violation{InvariantWholeResponse, "call " + call.ID + " got a cut answer as if it were whole"})
 		}
 	}
@@ -105,8 +105,8 @@
 
 // Versions checks that the versions seen at each node never decrease.
 func Versions(records history.Records) []Violation {
-	sightings := slices.Clone(records.Sightings)
-	slices.SortStableFunc(sightings, func(a, b history.Sighting) int { return a.At.Compare(b.At) })
+	sightings := slices.Clone(records.VersionObservations)
+	slices.SortStableFunc(sightings, func(a, b history.VersionObservation) int { return a.At.Compare(b.At) })
 	highest := map[string]uint64{}
 	var found []Violation
 	for _, sighting := range sightings {
@@ -124,7 +124,7 @@
 	var found []Violation
 	for _, call := range records.Calls {
 		overlaps := call.Start.Before(to) && call.End.After(from)
-		incomplete := call.Status == 0 || (call.Answered() && !call.Whole)
+		incomplete := call.Status == 0 || (call.Answered() && !call.Complete)
 		if overlaps && incomplete {
 			found = append(found, Violation{InvariantPlannedStop, fmt.Sprintf("call %s by %s: %s", call.ID, call.Node, call.Error)})
 		}
--- a/pkg/bench/check/check_test.go
+++ b/pkg/bench/check/check_test.go
@@ -18,8 +18,8 @@
 func validRecords() history.Records {
 	return history.Records{
 		Calls: []history.Call{
-			{ID: "a", Status: 200, Whole: true, Start: at(1), End: at(2)},
-			{ID: "b", Once: true, Status: 200, Whole: true, Start: at(1), End: at(2)},
+			{ID: "a", Status: 200, Complete: true, Start: at(1), End: at(2)},
+			{ID: "b", Once: true, Status: 200, Complete: true, Start: at(1), End: at(2)},
 			{ID: "c", Status: 503, Outcome: "not-run", Start: at(1), End: at(2)},
 			{ID: "d", Once: true, Status: 502, Outcome: "unknown", Start: at(1), End: at(2)},
 			{ID: "e", Status: 200, Error: "unexpected EOF", Start: at(8), End: at(9)},
@@ -28,8 +28,8 @@
 			{CallID: "a", Backend: "one", Begun: at(1)}, {CallID: "a", Backend: "two", Begun: at(1.1)},
 			{CallID: "b", Backend: "one", Begun: at(1)}, {CallID: "d", Backend: "one", Begun: at(6)},
 		},
-		Departures: []history.Departure{{Backend: "one", At: at(4)}},
-		Sightings:  []history.Sighting{{Node: "n", Version: 1, At: at(1)}, {Node: "n", Version: 2, At: at(2)}, {Node: "m", Version: 1, At: at(3)}},
+		Departures:          []history.Departure{{Backend: "one", At: at(4)}},
+		VersionObservations: []history.VersionObservation{{Node: "n", Version: 1, At: at(1)}, {Node: "n", Version: 2, At: at(2)}, {Node: "m", Version: 1, At: at(3)}},
 	}
 }
 
@@ -47,15 +47,15 @@
 		want    string
 	}{
 		"another call's answer":   {func(r *history.Records) { r.Calls[0].Foreign = true }, InvariantWholeResponse},
-		"cut answer as if whole":  {func(r *history.Records) { r.Calls[0].Whole = false }, InvariantWholeResponse},
+		"cut answer as if whole":  {func(r *history.Records) { r.Calls[0].Complete = false }, InvariantWholeResponse},
 		"refused but ran":         {func(r *history.Records) { r.Executions[0].CallID = "c" }, InvariantNotRun},
 		"ran twice":               {func(r *history.Records) { r.Executions = append(r.Executions, r.Executions[2]) }, InvariantAtMostOnce},
 		"unknown call ran twice":  {func(r *history.Records) { r.Executions = append(r.Executions, r.Executions[3]) }, InvariantAtMostOnce},
 		"work after leaving":      {func(r *history.Records) { r.Executions[3].Begun = at(7.5) }, InvariantDeparture},
-		"version falls":           {func(r *history.Records) { r.Sightings[1].At = at(0.5) }, InvariantVersionOrder},
-		"version falls to none":   {func(r *history.Records) { r.Sightings[2] = history.Sighting{Node: "n", At: at(9)} }, InvariantVersionOrder},
+		"version falls":           {func(r *history.Records) { r.VersionObservations[1].At = at(0.5) }, InvariantVersionOrder},
+		"version falls to none":   {func(r *history.Records) { r.VersionObservations[2] = history.VersionObservation{Node: "n", At: at(9)} }, InvariantVersionOrder},
 		"stop cuts a connection":  {func(r *history.Records) { r.Calls[1].Status = 0 }, InvariantPlannedStop},
-		"stop cuts off an answer": {func(r *history.Records) { r.Calls[1].Whole = false }, InvariantPlannedStop},
+		"stop cuts off an answer": {func(r *history.Records) { r.Calls[1].Complete = false }, InvariantPlannedStop},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
--- a/pkg/bench/demo/demo.go
+++ b/pkg/bench/demo/demo.go
@@ -274,7 +274,7 @@
 	if err := node.Status(&status); err != nil {
 		return false
 	}
-	d.history.AddSighting(history.Sighting{Node: node.Name, Version: status.Version, At: time.Now()})
+	d.history.AddVersionObservation(history.VersionObservation{Node: node.Name, Version: status.Version, At: time.Now()})
 	if status.Version < number {
 		return false
 	}
@@ -317,7 +317,7 @@
 	if err := node.Status(&status); err != nil {
 		return err
 	}
-	d.history.AddSighting(history.Sighting{Node: node.Name, Version: status.Version, At: time.Now()})
+	d.history.AddVersionObservation(history.VersionObservation{Node: node.Name, Version: status.Version, At: time.Now()})
 	d.logf("%s is killed and comes back with version %d", node.Name, status.Version)
 	return nil
 }
--- a/pkg/bench/history/history.go
+++ b/pkg/bench/history/history.go
@@ -18,8 +18,8 @@
 	Status int
 	// Outcome is the Request-Outcome header of the response: "not-run", "unknown" or empty.
 	Outcome string
-	// Whole reports that the response is complete and belongs to this call.
-	Whole bool
+	// Complete reports that the response is complete and belongs to this call.
+	Complete bool
 	// Foreign reports that the response belongs to another call.
 	Foreign bool
 	// Error is the text of the client's error, if any.
@@ -44,8 +44,8 @@
 	At      time.Time
 }
 
-// Sighting is an observation of the version in force at a node.
-type Sighting struct {
+// VersionObservation is an observation of the version in force at a node.
+type VersionObservation struct {
 	Node    string
 	Version uint64
 	At      time.Time
@@ -54,11 +54,11 @@
 // History collects records. It is safe for concurrent use. The Add methods of a nil
 // History do nothing.
 type History struct {
-	mu         sync.Mutex
-	calls      []Call
-	executions []Execution
-	departures []Departure
-	sightings  []Sighting
+	mu                  sync.Mutex
+	calls               []Call
+	executions          []Execution
+	departures          []Departure
+	versionObservations []VersionObservation
 }
 
 // AddCall records a completed call.
@@ -91,22 +91,22 @@
 	h.departures = append(h.departures, d)
 }
 
-// AddSighting records an observed version of a node.
-func (h *History) AddSighting(s Sighting) {
+// AddVersionObservation records an observed version of a node.
+func (h *History) AddVersionObservation(s VersionObservation) {
 	if h == nil {
 		return
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.sightings = append(h.sightings, s)
+	h.versionObservations = append(h.versionObservations, s)
 }
 
 // Records is a snapshot of a history, in the order of recording.
 type Records struct {
-	Calls      []Call
-	Executions []Execution
-	Departures []Departure
-	Sightings  []Sighting
+	Calls               []Call
+	Executions          []Execution
+	Departures          []Departure
+	VersionObservations []VersionObservation
 }
 
 // Records returns a snapshot of the history.
@@ -114,9 +114,9 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return Records{
-		Calls:      append([]Call(nil), h.calls...),
-		Executions: append([]Execution(nil), h.executions...),
-		Departures: append([]Departure(nil), h.departures...),
-		Sightings:  append([]Sighting(nil), h.sightings...),
+		Calls:               append([]Call(nil), h.calls...),
+		Executions:          append([]Execution(nil), h.executions...),
+		Departures:          append([]Departure(nil), h.departures...),
+		VersionObservations: append([]VersionObservation(nil), h.versionObservations...),
 	}
 }
--- a/pkg/bench/load/load.go
+++ b/pkg/bench/load/load.go
@@ -138,8 +138,8 @@
 // verifyBody compares a response body with the expected one and sets Whole and Foreign.
 func verifyBody(call *history.Call, body []byte, length int) {
 	want := standin.ResponseBody(call.ID, length)
-	call.Whole = bytes.Equal(body, want)
-	if !call.Whole && !strings.HasPrefix(string(want), string(body)) {
+	call.Complete = bytes.Equal(body, want)
+	if !call.Complete && !strings.HasPrefix(string(want), string(body)) {
 		call.Foreign = true
 	}
 }
@@ -158,7 +158,7 @@
 	for _, call := range records.Calls {
 		s.Calls++
 		switch {
-		case call.Answered() && call.Whole:
+		case call.Answered() && call.Complete:
 			s.Answered++
 		case call.Outcome != "":
 			s.Refused++
--- a/test/integration/control_test.go
+++ b/test/integration/control_test.go
@@ -160,7 +160,7 @@
 	accepted := s.publish()
 	for i := range 20 {
 		call := s.call(zoneNodes[i%len(zoneNodes)], http.MethodGet, "/pedidos/stock/1", fmt.Sprintf("cut-%d", i), false)
-		is.True(call.Answered() && call.Whole) // the back ends are still reachable
+		is.True(call.Answered() && call.Complete) // the back ends are still reachable
 		time.Sleep(100 * time.Millisecond)
 	}
 	is.NoErr(s.network.Heal())
--- a/test/integration/end_to_end_test.go
+++ b/test/integration/end_to_end_test.go
@@ -13,7 +13,7 @@
 	is := is.New(t)
 	s := startSystem(t, nil)
 	first := s.call(s.Proxies[0], http.MethodGet, "/pedidos/stock/1", "first", false)
-	is.True(first.Answered() && first.Whole) // served by version 1
+	is.True(first.Answered() && first.Complete) // served by version 1
 	before := s.call(s.Proxies[0], http.MethodGet, "/new/1", "before", false)
 	is.Equal(before.Status, http.StatusNotFound)
 	is.Equal(before.Outcome, "not-run")
@@ -24,5 +24,5 @@
 	is.Equal(number, uint64(2))
 	is.NoErr(s.awaitVersion(s.Proxies, 2))
 	after := s.call(s.Proxies[0], http.MethodGet, "/new/2", "after", false)
-	is.True(after.Answered() && after.Whole) // the new route works
+	is.True(after.Answered() && after.Complete) // the new route works
 }
--- a/test/integration/node_test.go
+++ b/test/integration/node_test.go
@@ -83,7 +83,7 @@
 	} else {
 		call.Status = response.StatusCode
 		call.Outcome = response.Header.Get("Request-Outcome")
-		call.Whole = true // only the number of executions is checked here
+		call.Complete = true // only the number of executions is checked here
 		response.Body.Close()
 	}
 	s.history.AddCall(call)
@@ -163,7 +163,7 @@
 	if err != nil {
 		call.Error = err.Error()
 	} else {
-		call.Status, call.Whole = response.StatusCode, true
+		call.Status, call.Complete = response.StatusCode, true
 		response.Body.Close()
 	}
 	s.history.AddCall(call)
--- a/test/integration/system_test.go
+++ b/test/integration/system_test.go
@@ -186,7 +186,7 @@
 	for _, node := range s.Proxies {
 		var status proxy.Status
 		if node.Status(&status) == nil && status.Serving {
-			s.history.AddSighting(history.Sighting{Node: node.Name, Version: status.Version, At: time.Now()})
+			s.history.AddVersionObservation(history.VersionObservation{Node: node.Name, Version: status.Version, At: time.Now()})
 		}
 	}
 }
