--- a/pkg/bench/demo/demo.go
+++ b/pkg/bench/demo/demo.go
@@ -119,7 +119,7 @@
 	d.platform.SetMachines(d.backends.Machines())
 	d.logf("%d back ends of %d services run in %d zones", len(d.backends.All), len(d.profile.Services), len(d.profile.Zones))
 	d.fleet, err = fleet.New(fleet.Config{
-		Folder: filepath.Join(folder, "fleet"), Cluster: d.profile.Name, Zones: d.profile.Zones, Through: d.network.Through,
+		Folder: filepath.Join(folder, "fleet"), Cluster: d.profile.Name, Zones: d.profile.Zones, Through: d.network.ProxyFor,
 		Replicas: replicas, Relays: len(d.profile.Zones), Proxies: d.options.Proxies, ProxyData: true,
 		PlatformURL: d.platform.ListURL(), SourceURL: d.platform.SourceURL(),
 	})
@@ -147,7 +147,7 @@
 // addLatency delays the links between zones and those from callers to nodes.
 func (d *demo) addLatency() error {
 	for _, node := range d.fleet.Proxies {
-		address, err := d.network.Through(callersName, node.Name, node.Address)
+		address, err := d.network.ProxyFor(callersName, node.Name, node.Address)
 		if err != nil {
 			return err
 		}
--- a/pkg/bench/faultnet/faultnet.go
+++ b/pkg/bench/faultnet/faultnet.go
@@ -68,9 +68,9 @@
 	}
 }
 
-// Through returns the address of a fault proxy between a client and the server at address.
+// ProxyFor returns the address of a fault proxy between a client and the server at address.
 // It creates the proxy on the first call for this pair.
-func (n *Network) Through(client, server, address string) (string, error) {
+func (n *Network) ProxyFor(client, server, address string) (string, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	link := Link{Client: client, Server: server}
@@ -88,9 +88,9 @@
 // anyClient is the client name of a link that is shared by all clients.
 const anyClient = "any"
 
-// Before opens a fault proxy at the listen address that all clients share to reach the
+// ListenFor opens a fault proxy at the listen address that all clients share to reach the
 // server at address.
-func (n *Network) Before(server, listen, address string) error {
+func (n *Network) ListenFor(server, listen, address string) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	proxy := toxiproxy.NewProxy(n.server, anyClient+"-"+server, listen, address)
@@ -101,8 +101,8 @@
 	return nil
 }
 
-// To matches the links to the given servers.
-func To(servers ...string) func(Link) bool {
+// ToServers matches the links to the given servers.
+func ToServers(servers ...string) func(Link) bool {
 	match := Names(servers...)
 	return func(l Link) bool { return match(l.Server) }
 }
@@ -127,8 +127,8 @@
 	return nil
 }
 
-// Slow adds a delay with jitter to each direction of the matching links until Heal.
-func (n *Network) Slow(match func(Link) bool, delay time.Duration) error {
+// DelayWithJitter adds a delay with jitter to each direction of the matching links until Heal.
+func (n *Network) DelayWithJitter(match func(Link) bool, delay time.Duration) error {
 	attributes := fmt.Sprintf(`{"latency":%d,"jitter":%d}`, max(1, delay.Milliseconds()), delay.Milliseconds()/2)
 	return n.addToxics(match, "latency", attributes, clientToServer, serverToClient)
 }
@@ -145,9 +145,9 @@
 	return n.cut(match, clientToServer, serverToClient)
 }
 
-// CutAnswers blocks the data that servers send on the matching links until Heal: requests
+// CutResponses blocks the data that servers send on the matching links until Heal: requests
 // arrive, but responses are lost.
-func (n *Network) CutAnswers(match func(Link) bool) error {
+func (n *Network) CutResponses(match func(Link) bool) error {
 	return n.cut(match, serverToClient)
 }
 
--- a/test/integration/control_test.go
+++ b/test/integration/control_test.go
@@ -177,7 +177,7 @@
 	t.Cleanup(network.Stop)
 	var addresses []string
 	for _, node := range s.Controls {
-		address, err := network.Through("operator", node.Name, node.Admin)
+		address, err := network.ProxyFor("operator", node.Name, node.Admin)
 		is.NoErr(err)
 		addresses = append(addresses, address)
 	}
@@ -217,7 +217,7 @@
 // dropResponsesIntermittently drops all responses for 40 ms at a time until stop closes.
 func dropResponsesIntermittently(network *faultnet.Network, stop chan struct{}) {
 	for {
-		_ = network.CutAnswers(func(faultnet.Link) bool { return true })
+		_ = network.CutResponses(func(faultnet.Link) bool { return true })
 		time.Sleep(40 * time.Millisecond)
 		_ = network.Heal()
 		select {
