--- a/pkg/bench/demo/demo.go
+++ b/pkg/bench/demo/demo.go
@@ -119,7 +119,7 @@
 	d.platform.SetMachines(d.backends.Machines())
 	d.logf("%d back ends of %d services run in %d zones", len(d.backends.All), len(d.profile.Services), len(d.profile.Zones))
 	d.fleet, err = fleet.New(fleet.Config{
-		Folder: filepath.Join(folder, "fleet"), Cluster: d.profile.Name, Zones: d.profile.Zones, Through: d.network.ProxyFor,
+		Folder: filepath.Join(folder, "fleet"), Cluster: d.profile.Name, Zones: d.profile.Zones, ProxyFor: d.network.ProxyFor,
 		Replicas: replicas, Relays: len(d.profile.Zones), Proxies: d.options.Proxies, ProxyData: true,
 		PlatformURL: d.platform.ListURL(), SourceURL: d.platform.SourceURL(),
 	})
--- a/pkg/bench/experiment/system.go
+++ b/pkg/bench/experiment/system.go
@@ -153,7 +153,7 @@
 	// The convergence time includes the rollout request, so the clock is read before it.
 	at := time.Now()
 	s.recorder.Begin(versionChange(number, at))
-	_, err = s.fleet.Roll(ctx, number)
+	_, err = s.fleet.RollOut(ctx, number)
 	return err
 }
 
--- a/pkg/bench/fleet/fleet.go
+++ b/pkg/bench/fleet/fleet.go
@@ -35,9 +35,9 @@
 	ProxyData   bool
 	PlatformURL string
 	SourceURL   string
-	// Through, if set, returns the address that the client uses to reach the server at
+	// ProxyFor, if set, returns the address that the client uses to reach the server at
 	// address, for example that of a fault proxy.
-	Through func(client, server, address string) (string, error)
+	ProxyFor func(client, server, address string) (string, error)
 }
 
 // Node is a control replica, relay or proxy process with its addresses.
@@ -176,9 +176,9 @@
 	var peers []settings.Peer
 	for _, server := range servers {
 		address := server.Address
-		if f.Config.Through != nil && client.Name != server.Name {
+		if f.Config.ProxyFor != nil && client.Name != server.Name {
 			var err error
-			if address, err = f.Config.Through(client.Name, server.Name, address); err != nil {
+			if address, err = f.Config.ProxyFor(client.Name, server.Name, address); err != nil {
 				return nil, err
 			}
 		}
@@ -236,7 +236,7 @@
 func (f *Fleet) Kill() {
 	for _, node := range f.All() {
 		if node.Running() {
-			_ = node.Thaw()
+			_ = node.Resume()
 			node.Kill()
 		}
 	}
@@ -267,7 +267,7 @@
 	if err != nil {
 		return 0, time.Time{}, err
 	}
-	accepted, err := f.Roll(ctx, number)
+	accepted, err := f.RollOut(ctx, number)
 	return number, accepted, err
 }
 
@@ -296,8 +296,8 @@
 	Version bundle.Manifest `json:"version"`
 }
 
-// Roll rolls out a version and returns the time at which the request was accepted.
-func (f *Fleet) Roll(ctx context.Context, number uint64) (time.Time, error) {
+// RollOut rolls out a version and returns the time at which the request was accepted.
+func (f *Fleet) RollOut(ctx context.Context, number uint64) (time.Time, error) {
 	path := fmt.Sprintf("%s/%d/roll", operator.PathVersions, number)
 	var rolled versionResponse
 	err := f.Client().Do(ctx, http.MethodPost, path, operator.RollRequest{OperationID: operator.NewOperationID()}, &rolled)
--- a/pkg/bench/fleet/process.go
+++ b/pkg/bench/fleet/process.go
@@ -72,11 +72,11 @@
 	return p.command.Process.Signal(signal)
 }
 
-// Freeze suspends the process with SIGSTOP.
-func (p *Process) Freeze() error { return p.Signal(syscall.SIGSTOP) }
+// Suspend suspends the process with SIGSTOP.
+func (p *Process) Suspend() error { return p.Signal(syscall.SIGSTOP) }
 
-// Thaw resumes a frozen process with SIGCONT.
-func (p *Process) Thaw() error { return p.Signal(syscall.SIGCONT) }
+// Resume resumes a suspended process with SIGCONT.
+func (p *Process) Resume() error { return p.Signal(syscall.SIGCONT) }
 
 // Kill kills the process with SIGKILL and waits for its exit.
 func (p *Process) Kill() {
--- a/test/integration/control_test.go
+++ b/test/integration/control_test.go
@@ -117,12 +117,12 @@
 	s.startRecordingVersions()
 	leader, err := s.Leader()
 	is.NoErr(err)
-	is.NoErr(leader.Freeze())
-	is.NoErr(s.Relays[0].Freeze())
+	is.NoErr(leader.Suspend())
+	is.NoErr(s.Relays[0].Suspend())
 	accepted := s.publish()
 	is.NoErr(s.awaitVersion(s.Proxies, accepted))
 	accepted = s.publish()
-	is.NoErr(leader.Thaw())
+	is.NoErr(leader.Resume())
 	leaderClient := operator.NewClient([]string{leader.Admin})
 	ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 	defer cancel()
@@ -132,7 +132,7 @@
 			is.True(status.Active >= accepted) // no stale status
 		}
 	}
-	is.NoErr(s.Relays[0].Thaw())
+	is.NoErr(s.Relays[0].Resume())
 	is.NoErr(s.awaitVersion(s.Proxies, accepted))
 	is.NoErr(s.awaitFullReplication())
 	s.checkHistory()
--- a/test/integration/system_test.go
+++ b/test/integration/system_test.go
@@ -63,7 +63,7 @@
 	s.platform.SetMachines(s.backends.Machines())
 	config := fleet.Config{
 		Folder: filepath.Join(t.TempDir(), "fleet"), Cluster: "test", Zones: chosen.Zones[:2],
-		Replicas: 3, Relays: 2, Proxies: 4, ProxyData: true, Through: s.network.ProxyFor,
+		Replicas: 3, Relays: 2, Proxies: 4, ProxyData: true, ProxyFor: s.network.ProxyFor,
 		PlatformURL: s.platform.ListURL(), SourceURL: s.platform.SourceURL(),
 	}
 	if configure != nil {
