--- a/cmd/bramblelift/main.go
+++ b/cmd/bramblelift/main.go
@@ -10,5 +10,5 @@
 )
 
 func main() {
-	os.Exit(daemon.Main(os.Args[1:], platform.Interfaces(), os.Stdout, os.Stderr))
+	os.Exit(daemon.Main(os.Args[1:], platform.Handlers(), os.Stdout, os.Stderr))
 }
