--- a/pkg/bench/check/check.go
+++ b/pkg/bench/check/check.go
@@ -105,15 +105,15 @@
 
 // Versions checks that the versions seen at each node never decrease.
 func Versions(records history.Records) []Violation {
-	sightings := slices.Clone(records.VersionObservations)
-	slices.SortStableFunc(sightings, func(a, b history.VersionObservation) int { return a.At.Compare(b.At) })
+	observations := slices.Clone(records.VersionObservations)
+	slices.SortStableFunc(observations, func(a, b history.VersionObservation) int { return a.At.Compare(b.At) })
 	highest := map[string]uint64{}
 	var found []Violation
-	for _, sighting := range sightings {
-		if sighting.Version < highest[sighting.Node] {
-			found = append(found, Violation{InvariantVersionOrder, fmt.Sprintf("%s went from %d to %d", sighting.Node, highest[sighting.Node], sighting.Version)})
+	for _, observation := range observations {
+		if observation.Version < highest[observation.Node] {
+			found = append(found, Violation{InvariantVersionOrder, fmt.Sprintf("%s went from %d to %d", observation.Node, highest[observation.Node], observation.Version)})
 		}
-		highest[sighting.Node] = max(highest[sighting.Node], sighting.Version)
+		highest[observation.Node] = max(highest[observation.Node], observation.Version)
 	}
 	return found
 }
