--- a/pkg/sim/doc.go
+++ b/pkg/sim/doc.go
@@ -1,5 +1,5 @@
 // Package sim runs the system's decision code in virtual time: the same replica,
-// storage, catalog, planner, holder, selector, session, keeper, pool and retry code
+// storage, catalog, planner, holder, selector, session, configuration store, pool and retry code
 // as the daemons, with simulated sockets, disks, clocks and random numbers.
 //
 // A run is determined by its seed: all random choices come from one generator, events
--- a/pkg/sim/node.go
+++ b/pkg/sim/node.go
@@ -29,7 +29,7 @@
 	group   string
 	// disk is nil for a node without persistent state.
 	disk      *disk
-	keeper    *proxy.ConfigStore
+	store     *proxy.ConfigStore
 	client    *subscriber
 	table     *routing.Table
 	pools     map[string]*balancer.Pool
@@ -58,7 +58,7 @@
 	if n.disk != nil {
 		files = n.disk
 	}
-	keeper, err := proxy.NewConfigStore(proxy.StoreConfig{
+	store, err := proxy.NewConfigStore(proxy.StoreConfig{
 		Files: files, Group: n.group, Verifier: n.cluster.verifier,
 		OnActivate: n.activate,
 		OnFailure:  func(err error) { n.fail(err) },
@@ -68,16 +68,16 @@
 		n.endRun()
 		return
 	}
-	n.keeper = keeper
+	n.store = store
 	n.client = &subscriber{
-		process: &n.process, network: n.cluster.network, target: keeper,
+		process: &n.process, network: n.cluster.network, target: store,
 		hello:        protocol.Hello{Role: protocol.RoleNode, Name: n.name, Zone: n.zone, Group: n.group},
 		selector:     n.cluster.selector(n.zone, n.cluster.relayProcesses()),
 		lookup:       n.cluster.lookupRelay,
 		pingInterval: nodePingInterval, silenceTimeout: nodeSilenceTimeout,
-		onConfirmed: keeper.Confirmed,
+		onConfirmed: store.Confirmed,
 	}
-	keeper.Start()
+	store.Start()
 	n.client.start()
 	n.afterLocal(n.simulation.between(0, callInterval), n.generateTraffic)
 }
