--- a/pkg/bench/experiment/system.go
+++ b/pkg/bench/experiment/system.go
@@ -116,8 +116,8 @@
 	}
 	s.hollowNodes = hollow.NewNodeSet(hollow.Config{
 		Cluster: cluster, Verifier: verifier, Relays: relays,
-		Timing:  settings.Timing{PingInterval: bundle.Duration(nodePing), SilenceTimeout: bundle.Duration(nodeSilence)},
-		InForce: s.recorder.InForce,
+		Timing:     settings.Timing{PingInterval: bundle.Duration(nodePing), SilenceTimeout: bundle.Duration(nodeSilence)},
+		OnActivate: s.recorder.InForce,
 	}, identities)
 	return nil
 }
--- a/pkg/bench/hollow/node.go
+++ b/pkg/bench/hollow/node.go
@@ -1,5 +1,5 @@
 // Package hollow runs many nodes in one process. A hollow node has the configuration
-// keeper and the subscription of a real node, over real connections, but no data plane.
+// configuration store and the subscription of a real node, over real connections, but no data plane.
 package hollow
 
 import (
@@ -29,8 +29,8 @@
 	Relays   []settings.Peer
 	// Timing has the same meaning as in the settings of a real node.
 	Timing settings.Timing
-	// OnActivate is called with each state that a node puts in force.
-	InForce func(node string, state *distribution.State)
+	// OnActivate is called with each state that a node activates.
+	OnActivate func(node string, state *distribution.State)
 }
 
 // Identity holds the name, zone and group of a node.
@@ -63,7 +63,7 @@
 // Start runs the node in the background until Stop.
 func (n *Node) Start() error {
 	runClock := clock.New()
-	keeper, err := proxy.NewConfigStore(proxy.StoreConfig{
+	store, err := proxy.NewConfigStore(proxy.StoreConfig{
 		Group: n.Group, Verifier: n.config.Verifier, OnActivate: n.recordState,
 		OnFailure: func(error) {},
 	})
@@ -81,8 +81,8 @@
 		Observe:        n.tally.Observe,
 		Logger:         log.NewNopLogger(),
 		Now:            runClock.Elapsed,
-		OnConfirmed:    keeper.Confirmed,
-	}, keeper, stream.Candidates(n.Zone, n.config.Relays))
+		OnConfirmed:    store.Confirmed,
+	}, store, stream.Candidates(n.Zone, n.config.Relays))
 	if err != nil {
 		return fmt.Errorf("hollow node %s: %w", n.Name, err)
 	}
@@ -102,7 +102,7 @@
 	n.mu.Lock()
 	n.serving = true
 	n.mu.Unlock()
-	n.config.InForce(n.Name, state)
+	n.config.OnActivate(n.Name, state)
 }
 
 // Serving reports whether the node has had a configuration in force since its last start.
