--- a/pkg/relay/relay.go
+++ b/pkg/relay/relay.go
@@ -95,8 +95,8 @@
 }
 
 func (s *Server) newClient() error {
-	link := &metrics.PeerRole{}
-	link.Set(metrics.LinkControl)
+	role := &metrics.PeerRole{}
+	role.Set(metrics.LinkControl)
 	var err error
 	s.client, err = stream.NewClient(stream.ClientConfig{
 		Hello: protocol.Hello{
@@ -107,7 +107,7 @@
 		PingInterval:   time.Duration(s.settings.PingInterval),
 		SilenceTimeout: time.Duration(s.settings.SilenceTimeout),
 		DialTimeout:    dialTimeout,
-		Observe:        s.traffic.Observe(link),
+		Observe:        s.traffic.Observe(role),
 		Logger:         s.logger,
 		Now:            s.clock.Elapsed,
 		TakeReports:    s.takeReports,
@@ -203,9 +203,9 @@
 }
 
 func (s *Server) serve(ctx context.Context, raw net.Conn) {
-	link := &metrics.PeerRole{}
-	link.Set(metrics.LinkNode)
-	conn := wire.NewConn(raw, wire.DefaultMaxFrame, writeTimeout, s.traffic.Observe(link))
+	role := &metrics.PeerRole{}
+	role.Set(metrics.LinkNode)
+	conn := wire.NewConn(raw, wire.DefaultMaxFrame, writeTimeout, s.traffic.Observe(role))
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
