--- a/pkg/bench/baseline/baseline.go
+++ b/pkg/bench/baseline/baseline.go
@@ -219,7 +219,7 @@
 	Phase time.Duration
 	Tally *tally.Tally
 	// OnActivate is called with each received snapshot, converted to a state.
-	InForce func(node string, state *distribution.State)
+	OnActivate func(node string, state *distribution.State)
 }
 
 // Run receives snapshots until the context ends, which is not an error, or until the
@@ -285,7 +285,7 @@
 	if err := conn.Decode(&next); err != nil {
 		return 0, err
 	}
-	c.InForce(c.Name, &distribution.State{
+	c.OnActivate(c.Name, &distribution.State{
 		Revision:  next.Revision,
 		Active:    &bundle.Signed{Manifest: bundle.Manifest{Version: next.Version}, Content: next.Content},
 		Endpoints: next.Endpoints,
