--- a/pkg/bench/convergence/recorder.go
+++ b/pkg/bench/convergence/recorder.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// OnActivate records that a node has put a state in force.
-func (r *Recorder) InForce(node string, state *distribution.State) {
+// OnActivate records that a node has activated a state.
+func (r *Recorder) OnActivate(node string, state *distribution.State) {
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pkg/bench/experiment/converge.go
+++ b/pkg/bench/experiment/converge.go
@@ -240,7 +240,7 @@
 	b.recorder = convergence.NewRecorder(names)
 	for i, name := range names {
 		client := &baseline.Client{
-			Name: name, Address: b.server.Address(), Mode: b.mode, Tally: b.byteTally, OnActivate: b.recorder.InForce,
+			Name: name, Address: b.server.Address(), Mode: b.mode, Tally: b.byteTally, OnActivate: b.recorder.OnActivate,
 			Period: b.options.Period, Phase: b.options.Period * time.Duration(i) / time.Duration(len(names)),
 		}
 		go func() { _ = client.Run(ctx) }()
--- a/pkg/bench/experiment/system.go
+++ b/pkg/bench/experiment/system.go
@@ -117,7 +117,7 @@
 	s.hollowNodes = hollow.NewNodeSet(hollow.Config{
 		Cluster: cluster, Verifier: verifier, Relays: relays,
 		Timing:     settings.Timing{PingInterval: bundle.Duration(nodePing), SilenceTimeout: bundle.Duration(nodeSilence)},
-		OnActivate: s.recorder.InForce,
+		OnActivate: s.recorder.OnActivate,
 	}, identities)
 	return nil
 }
