--- a/pkg/bench/load/load.go
+++ b/pkg/bench/load/load.go
@@ -135,7 +135,7 @@
 	}
 }
 
-// verifyBody compares a response body with the expected one and sets Whole and Foreign.
+// verifyBody compares a response body with the expected one and sets Complete and Foreign.
 func verifyBody(call *history.Call, body []byte, length int) {
 	want := standin.ResponseBody(call.ID, length)
 	call.Complete = bytes.Equal(body, want)
--- a/pkg/link/meter.go
+++ b/pkg/link/meter.go
@@ -72,8 +72,8 @@
 // Sent returns the bytes sent to a kind of peer.
 func (m *Meter) Sent(p Peer) int64 { return m.sent[p].Load() }
 
-// ScheduledBodyReceived records that size of the received bytes were a large request body whose transfer the node's gate
-// scheduled.
+// ScheduledBodyReceived records that size of the received bytes were a large request body whose transfer the
+// node's gate scheduled.
 func (m *Meter) ScheduledBodyReceived(size int64) {
 	if m != nil {
 		m.scheduledBodies.Add(size)
@@ -125,7 +125,8 @@
 // LargeResponseBytesSent returns the number of bytes of large responses sent.
 func (m *Meter) LargeResponseBytesSent() int64 { return m.largeResponses.Load() }
 
-// ScheduledBodyBytesReceived returns the bytes received of large request bodies whose transfer the node's gate scheduled.
+// ScheduledBodyBytesReceived returns the bytes received of large request bodies whose transfer the node's gate
+// scheduled.
 func (m *Meter) ScheduledBodyBytesReceived() int64 { return m.scheduledBodies.Load() }
 
 // UnreservedRate returns the send rate in bytes per second without large responses for which the gate reserved
