--- a/pkg/sim/backend.go
+++ b/pkg/sim/backend.go
@@ -46,9 +46,9 @@
 	all     []*backend
 }
 
-func (s *backendSet) byName(id string) *backend {
+func (s *backendSet) byName(name string) *backend {
 	for _, b := range s.all {
-		if b.name == id {
+		if b.name == name {
 			return b
 		}
 	}
--- a/pkg/sim/disk.go
+++ b/pkg/sim/disk.go
@@ -39,8 +39,8 @@
 	return &disk{simulation: sim, folder: map[string]*inode{}, durableFolder: map[string]*inode{}}
 }
 
-// crash discards unsynced data. An arbitrary prefix of a file's unsynced bytes may
-// survive.
+// crash discards unsynced data. Unsynced directory changes are lost in half of the
+// crashes; an arbitrary prefix of a file's unsynced bytes may survive.
 func (d *disk) crash() {
 	if d.simulation.chance(0.5) {
 		d.folder = cloneFolder(d.durableFolder)
--- a/pkg/sim/doc.go
+++ b/pkg/sim/doc.go
@@ -1,6 +1,6 @@
-// Package sim runs the system's decision code in virtual time: the same replica,
-// storage, catalog, planner, holder, selector, session, keeper, pool and retry code
-// as the daemons, with simulated sockets, disks, clocks and random numbers.
+// Package sim runs the system's decision code in virtual time. It uses the packages
+// balancer, catalog, distribution, forward, proxy, replica, retry, storage and stream, as
+// the daemons do, with simulated sockets, disks, clocks and random numbers.
 //
 // A run is determined by its seed: all random choices come from one generator, events
 // at the same time run in the order in which they were scheduled, and nothing reads
--- a/pkg/sim/network.go
+++ b/pkg/sim/network.go
@@ -29,7 +29,7 @@
 	isolated map[string]bool
 	// corrupting makes servers alter some of their updates.
 	corrupting bool
-	// unreliable makes datagrams get lost, duplicated and delayed.
+	// unreliable enables loss, duplication and delay of datagrams.
 	unreliable bool
 }
 
--- a/pkg/sim/observe.go
+++ b/pkg/sim/observe.go
@@ -54,7 +54,7 @@
 // ends, so that the checks do not rely on the code under test.
 type observations struct {
 	contents map[uint64]createdContent
-	// highestAccepted is the highest version whose roll was confirmed to an operator.
+	// highestAccepted is the highest version whose rollout was confirmed to an operator.
 	highestAccepted uint64
 	acceptedAt      time.Duration
 	// versionInForce is the version in force at each node, across its process runs.
@@ -62,11 +62,11 @@
 	// history is the digest of the state after each applied index, from the first replica
 	// that reached it.
 	history map[uint64]string
-	// endpoints holds the endpoints of each revision, incarnationProgress the furthest state
-	// of each incarnation.
+	// endpoints holds the endpoints of each revision, incarnationProgress the latest state
+	// of each incarnation, and executionsByCall the executions of each call ID.
 	endpoints           map[uint64]distribution.EndpointTable
 	incarnationProgress map[string]endpointProgress
-	executions          map[string]int
+	executionsByCall    map[string]int
 	operations          []*operationRecord
 	leaseHolders        map[*control]bool
 	callsEnded          int
@@ -78,7 +78,7 @@
 	return &observations{
 		contents: map[uint64]createdContent{}, versionInForce: map[string]uint64{},
 		endpoints: map[uint64]distribution.EndpointTable{}, incarnationProgress: map[string]endpointProgress{},
-		history: map[uint64]string{}, executions: map[string]int{}, leaseHolders: map[*control]bool{},
+		history: map[uint64]string{}, executionsByCall: map[string]int{}, leaseHolders: map[*control]bool{},
 	}
 }
 
@@ -96,7 +96,8 @@
 	}
 }
 
-// observeControl is called after each advance of a replica.
+// observeControl checks the lease and the applied state of a replica and records its
+// endpoints. It is called after each advance.
 func (c *cluster) observeControl(ctl *control) {
 	holds := ctl.replica.Node().LeaseValid(ctl.clock())
 	c.leaseHolders[ctl] = holds
@@ -220,18 +221,19 @@
 }
 
 func (c *cluster) observeExecution(callID string, b *backend) {
-	c.executions[callID]++
+	c.executionsByCall[callID]++
 	c.simulation.log("%s is executed at %s", callID, b.name)
 }
 
-// observeAttempt is called when a node sends an attempt to a back end.
+// observeAttempt checks, when a node sends an attempt to a back end, that the node does
+// not know it to be leaving.
 func (c *cluster) observeAttempt(n *node, ticket *balancer.Ticket) {
 	if n.knownLeaving[incarnationKey(ticket.ID, ticket.Incarnation)] {
 		c.simulation.violate(invariantLeaving, "%s sends a call to %s, which it knows to be leaving", n.name, ticket.ID)
 	}
 }
 
-// observeCall is called when a call has ended for its caller.
+// observeCall records the outcome of a call that has ended for its caller.
 func (c *cluster) observeCall(id string, once bool, outcome string, answered bool) {
 	c.callsEnded++
 	if answered {
@@ -252,7 +254,7 @@
 // checkCalls compares the outcome of every ended call with the back ends' executions.
 func (c *cluster) checkCalls() {
 	for _, call := range c.endedCalls {
-		runs := c.executions[call.id]
+		runs := c.executionsByCall[call.id]
 		if call.outcome == "not-run" && runs > 0 {
 			c.simulation.violate(invariantNotRun, "%s ran %d times", call.id, runs)
 		}
--- a/pkg/sim/observe_endpoints.go
+++ b/pkg/sim/observe_endpoints.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// endpointProgress is the furthest state of one incarnation, and its revision.
+// endpointProgress is the latest state of one incarnation, and its revision.
 type endpointProgress struct {
 	revision uint64
 	state    distribution.EndpointState
--- a/pkg/sim/operator.go
+++ b/pkg/sim/operator.go
@@ -22,8 +22,8 @@
 	invalidProbability = 0.1
 )
 
-// operatorClient is an operator that creates, approves and rolls versions concurrently
-// with the others, and resends requests without a response.
+// operatorClient is an operator that creates, approves and rolls out versions
+// concurrently with the others, and resends requests without a response.
 type operatorClient struct {
 	process
 	cluster *cluster
@@ -44,7 +44,7 @@
 }
 
 // runRounds runs one round after another: read the head, create a version on top of it,
-// approve and roll it.
+// approve it and roll it out.
 func (o *operatorClient) runRounds() {
 	if o.paused {
 		o.afterLocal(thinkTime, o.runRounds)
--- a/pkg/sim/run.go
+++ b/pkg/sim/run.go
@@ -25,11 +25,12 @@
 
 // Result is the outcome of a run.
 type Result struct {
-	Seed       uint64
-	Steps      int
-	Faults     int
-	Calls      int
-	Answered   int
+	Seed     uint64
+	Steps    int
+	Faults   int
+	Calls    int
+	Answered int
+	// Accepted is the highest version that an operator got accepted.
 	Accepted   uint64
 	Digest     uint64
 	Violations []Violation
--- a/pkg/sim/simulation.go
+++ b/pkg/sim/simulation.go
@@ -114,8 +114,8 @@
 // chance returns true with probability p.
 func (sim *simulation) chance(p float64) bool { return sim.random.Float64() < p }
 
-// process is the base of all simulated processes: whether it runs, its clock, and
-// freezing it.
+// process is embedded in every simulated process. It holds the run state, the clock and
+// the callbacks deferred while the process is frozen.
 type process struct {
 	simulation *simulation
 	name       string
