--- a/test/integration/control_test.go
+++ b/test/integration/control_test.go
@@ -86,7 +86,7 @@
 	return found
 }
 
-// TestPartitionedLeaderStopsAnswering guards against a leader that answers operators, or
+// TestPartitionedLeaderStopsAnswering guards against a leader that responds to operators, or
 // keeps relays on old versions, while its connections are open but drop all data.
 func TestPartitionedLeaderStopsAnswering(t *testing.T) {
 	is := is.New(t)
@@ -109,7 +109,7 @@
 	s.checkHistory()
 }
 
-// TestThawedLeaderServesNoStaleStatus guards against a leader that answers under its
+// TestThawedLeaderServesNoStaleStatus guards against a leader that responds under its
 // expired lease after it was frozen.
 func TestThawedLeaderServesNoStaleStatus(t *testing.T) {
 	is := is.New(t)
@@ -138,17 +138,17 @@
 	s.checkHistory()
 }
 
-// TestPartitionedZoneKeepsServingAndCatchesUp guards against failed calls in a zone
-// without control, and against an old version there after the partition heals.
+// TestPartitionedZoneKeepsServingAndCatchesUp guards against failed calls in a zone that is
+// cut off from the control plane, and against an old version there after the partition heals.
 func TestPartitionedZoneKeepsServingAndCatchesUp(t *testing.T) {
 	is := is.New(t)
 	s := startSystem(t, nil)
 	s.startRecordingVersions()
-	var zoneProcesses []string
+	var zoneProcessNames []string
 	var zoneNodes []*fleet.Node
 	for _, node := range s.All() {
 		if node.Zone == s.profile.Zones[1] {
-			zoneProcesses = append(zoneProcesses, node.Name)
+			zoneProcessNames = append(zoneProcessNames, node.Name)
 		}
 	}
 	for _, node := range s.Proxies {
@@ -156,7 +156,7 @@
 			zoneNodes = append(zoneNodes, node)
 		}
 	}
-	is.NoErr(s.network.Cut(faultnet.Between(faultnet.Names(zoneProcesses...), faultnet.Not(faultnet.Names(zoneProcesses...)))))
+	is.NoErr(s.network.Cut(faultnet.Between(faultnet.Names(zoneProcessNames...), faultnet.Not(faultnet.Names(zoneProcessNames...)))))
 	accepted := s.publish()
 	for i := range 20 {
 		call := s.call(zoneNodes[i%len(zoneNodes)], http.MethodGet, "/pedidos/stock/1", fmt.Sprintf("cut-%d", i), false)
@@ -211,7 +211,7 @@
 	dropping.Wait()
 	status, err := s.status()
 	is.NoErr(err)
-	is.Equal(status.Head, uint64(1+len(winners))) // no version was created twice
+	is.Equal(status.Head, uint64(1+len(winners))) // no create was applied twice
 }
 
 // dropResponsesIntermittently drops all responses for 40 ms at a time until stop closes.
--- a/test/integration/end_to_end_test.go
+++ b/test/integration/end_to_end_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// TestRequestIsServedEndToEnd checks that a call is answered through a node, and that a
-// second version adds a route.
+// TestRequestIsServedEndToEnd guards against a call through a node that gets no response,
+// and against a second version whose added route does not work.
 func TestRequestIsServedEndToEnd(t *testing.T) {
 	is := is.New(t)
 	s := startSystem(t, nil)
--- a/test/integration/node_test.go
+++ b/test/integration/node_test.go
@@ -45,7 +45,7 @@
 }
 
 // TestOnceCallsRunAtMostOnceWhenBackEndsCrash guards against repeated execution, and
-// wrong outcomes, when back ends crash before, after or while they answer a call.
+// wrong outcomes, when back ends crash before, after or while they respond to a call.
 func TestOnceCallsRunAtMostOnceWhenBackEndsCrash(t *testing.T) {
 	s := startSystem(t, nil)
 	for number, backend := range s.backends.All {
@@ -89,8 +89,8 @@
 	s.history.AddCall(call)
 }
 
-// TestLeavingBackEndGetsNoNewCallsWithoutControl guards against nodes that need the
-// control plane to learn from a back end's responses that it is leaving.
+// TestLeavingBackEndGetsNoNewCallsWithoutControl guards against nodes that send new calls
+// to a back end whose responses report that it is leaving, while the control plane is down.
 func TestLeavingBackEndGetsNoNewCallsWithoutControl(t *testing.T) {
 	s := startSystem(t, nil)
 	for _, node := range append(s.Controls, s.Relays...) {
--- a/test/integration/pipeline_test.go
+++ b/test/integration/pipeline_test.go
@@ -32,7 +32,7 @@
 }
 
 // TestPlannedStopAnswersPipelinedCalls guards against a node that stops before it has
-// answered all pipelined calls in order, or that executes them one after another.
+// responded to all pipelined calls in order, or that executes them one after another.
 func TestPlannedStopAnswersPipelinedCalls(t *testing.T) {
 	is := is.New(t)
 	s := startSystem(t, nil)
--- a/test/integration/system_test.go
+++ b/test/integration/system_test.go
@@ -101,7 +101,7 @@
 	return ctx
 }
 
-// publish creates, approves and rolls the next version and returns its number.
+// publish creates, approves and rolls out the next version and returns its number.
 func (s *system) publish() uint64 {
 	s.t.Helper()
 	s.versions++
--- a/test/integration/wait_test.go
+++ b/test/integration/wait_test.go
@@ -38,7 +38,7 @@
 }
 
 // awaitEndpoints waits until the given nodes know a back end of each service, because a
-// version may be rolled before control has read the platform's list.
+// version may be rolled out before the control replicas have read the machine list.
 func (s *system) awaitEndpoints(nodes []*fleet.Node) error {
 	return eventually(convergenceTimeout, func() error {
 		for _, node := range nodes {
