--- a/pkg/bench/demo/demo.go
+++ b/pkg/bench/demo/demo.go
@@ -38,10 +38,12 @@
 	callerCount = 24
 	callerPause = 15 * time.Millisecond
 	callTimeout = 10 * time.Second
+	// leaveBound bounds the time until a leaving back end gets no new calls.
 	leaveBound  = 3 * time.Second
 	platformLag = 700 * time.Millisecond
 	setupLimit  = 30 * time.Second
-	maxMillis   = 60000
+	// maxConvergenceMillis is the highest convergence time that the histogram can hold.
+	maxConvergenceMillis = 60000
 )
 
 // errFailed is returned when the final checks fail; the output has the details.
@@ -62,10 +64,10 @@
 	history         *history.History
 	// convergence holds, for each node and version, the milliseconds from the acceptance
 	// of the rollout until the node has the version in force.
-	convergence    *hdrhistogram.Histogram
-	rollouts       int
-	rolloutsWanted int
-	started        time.Time
+	convergence       *hdrhistogram.Histogram
+	rolloutsCompleted int
+	rolloutsStarted   int
+	started           time.Time
 }
 
 // Run runs the demo and writes progress and result to out. It returns an error if the
@@ -77,7 +79,7 @@
 	}
 	d := &demo{
 		options: options, out: out, profile: selected, history: &history.History{}, network: faultnet.New(),
-		convergence: hdrhistogram.New(1, maxMillis, 3), started: time.Now(),
+		convergence: hdrhistogram.New(1, maxConvergenceMillis, 3), started: time.Now(),
 	}
 	folder, err := os.MkdirTemp("", "bramblelift-demo-")
 	if err != nil {
@@ -153,10 +155,10 @@
 		}
 		d.callerAddresses = append(d.callerAddresses, address)
 	}
-	if err := d.network.Delay(func(link faultnet.Link) bool { return link.Client == callersName }, d.profile.ClientLatency); err != nil {
+	if err := d.network.DelayPermanently(func(link faultnet.Link) bool { return link.Client == callersName }, d.profile.ClientLatency); err != nil {
 		return err
 	}
-	return d.network.Delay(d.crossesZones, d.profile.ZoneLatency)
+	return d.network.DelayPermanently(d.crossesZones, d.profile.ZoneLatency)
 }
 
 // crossesZones reports whether a link connects processes in different zones.
@@ -231,7 +233,7 @@
 
 // publish rolls out a bundle and waits until it is in force on every node.
 func (d *demo) publish(what, credential string) error {
-	d.rolloutsWanted++
+	d.rolloutsStarted++
 	ctx, cancel := context.WithTimeout(context.Background(), setupLimit)
 	defer cancel()
 	number, accepted, err := d.fleet.Publish(ctx, d.profile.BundleText(credential))
@@ -242,20 +244,20 @@
 	if err != nil {
 		return err
 	}
-	d.rollouts++
+	d.rolloutsCompleted++
 	d.logf("version %d (%s) accepted; in force on every node %d ms later", number, what, worst.Milliseconds())
 	return nil
 }
 
-// awaitVersion polls the status page of each node until all have the version in force. The
-// returned time therefore includes the delay of one poll.
+// awaitVersion polls the status page of each node until all have the version in force. It
+// returns the time since accepted, which includes the delay of polling.
 func (d *demo) awaitVersion(ctx context.Context, number uint64, accepted time.Time) (time.Duration, error) {
-	pending := append([]*fleet.Node(nil), d.fleet.Proxies...)
+	pending := append([]*fleet.Member(nil), d.fleet.Proxies...)
 	for len(pending) > 0 {
 		if ctx.Err() != nil {
 			return 0, fmt.Errorf("%s does not have version %d in force", pending[0].Name, number)
 		}
-		var remaining []*fleet.Node
+		var remaining []*fleet.Member
 		for _, node := range pending {
 			if !d.recordVersion(node, number, accepted) {
 				remaining = append(remaining, node)
@@ -269,7 +271,7 @@
 
 // recordVersion records the version in force on a node and reports whether it has reached
 // the given number.
-func (d *demo) recordVersion(node *fleet.Node, number uint64, accepted time.Time) bool {
+func (d *demo) recordVersion(node *fleet.Member, number uint64, accepted time.Time) bool {
 	var status proxy.Status
 	if err := node.Status(&status); err != nil {
 		return false
@@ -310,7 +312,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), setupLimit)
 	defer cancel()
-	if err := fleet.WaitReady(ctx, []*fleet.Node{node}); err != nil {
+	if err := fleet.WaitReady(ctx, []*fleet.Member{node}); err != nil {
 		return err
 	}
 	var status proxy.Status
@@ -330,7 +332,7 @@
 		d.logf("VIOLATION %s", violation)
 	}
 	summary := load.Summarize(records)
-	bytes, err := d.controlBytes()
+	bytes, err := d.meanControlBytes()
 	if err != nil {
 		return fmt.Errorf("demo: count control bytes: %w", err)
 	}
@@ -338,15 +340,15 @@
 	fmt.Fprintf(d.out, "result profile=%s seed=%d proxies=%d calls=%d answered=%d refused=%d violations=%d convergence_p50_ms=%d convergence_p99_ms=%d control_bytes_per_proxy=%d\n",
 		d.profile.Name, d.options.Seed, d.options.Proxies, summary.Calls, summary.Answered, summary.Refused,
 		len(violations), d.convergence.ValueAtQuantile(50), d.convergence.ValueAtQuantile(99), bytes)
-	if len(violations) > 0 || summary.Answered == 0 || d.rollouts < d.rolloutsWanted {
+	if len(violations) > 0 || summary.Answered == 0 || d.rolloutsCompleted < d.rolloutsStarted {
 		return errFailed
 	}
 	return nil
 }
 
-// controlBytes returns the mean number of bytes that a node exchanged with relays since
-// its last start.
-func (d *demo) controlBytes() (int64, error) {
+// meanControlBytes returns the mean number of bytes that a node exchanged with relays
+// since its last start.
+func (d *demo) meanControlBytes() (int64, error) {
 	var total float64
 	for _, node := range d.fleet.Proxies {
 		bytes, err := fleet.ControlBytes(node)
--- a/pkg/bench/experiment/calls.go
+++ b/pkg/bench/experiment/calls.go
@@ -30,6 +30,7 @@
 // PathLatency holds the latency of calls over one path: direct, through the bare reverse
 // proxy or through a node.
 type PathLatency struct {
+	// Way names the path.
 	Way   string  `json:"way"`
 	Calls int     `json:"calls"`
 	P50   float64 `json:"p50_ms"`
@@ -55,7 +56,7 @@
 	PerRoot      float64 `json:"leaf_attempts_per_root_call"`
 }
 
-// Goodput holds the rates of call outcomes at one offered load.
+// Goodput holds the rates and counts of call outcomes at one offered load.
 type Goodput struct {
 	// Load is the offered rate as a multiple of the capacity of the back ends.
 	Load     float64 `json:"load"`
@@ -69,7 +70,8 @@
 
 // CallsReport holds the results of the data-plane experiment.
 type CallsReport struct {
-	Run           Run            `json:"run"`
+	Run Run `json:"run"`
+	// Ways holds the latency of each path: direct, bare reverse proxy, node.
 	Ways          []PathLatency  `json:"ways"`
 	Chains        []ChainLatency `json:"chains"`
 	Amplification Amplification  `json:"amplification"`
@@ -98,15 +100,15 @@
 
 // callsExperiment holds the processes and services of a data-plane experiment.
 type callsExperiment struct {
-	options          CallsOptions
-	folder           string
-	platform         *standin.Platform
-	fleet            *fleet.Fleet
-	chains           []*chain.Service
-	declines         []*chain.Service
-	loaded           []*standin.Backend
-	bareProxy        *fleet.Process
-	bareProxyAddress string
+	options           CallsOptions
+	folder            string
+	platform          *standin.Platform
+	fleet             *fleet.Fleet
+	chains            []*chain.Service
+	decliningServices []*chain.Service
+	loaded            []*standin.Backend
+	bareProxy         *fleet.Process
+	bareProxyAddress  string
 }
 
 // Calls measures the latency that a node adds, call chains, retry amplification and
@@ -115,26 +117,26 @@
 	if options.Proxies < 1 || options.Depth < 1 || options.Rate <= 0 || options.Rounds < 1 {
 		return errInvalidCallsOptions
 	}
-	b := &callsExperiment{options: options}
-	defer b.stop()
-	if err := b.start(); err != nil {
+	e := &callsExperiment{options: options}
+	defer e.stop()
+	if err := e.start(); err != nil {
 		return fmt.Errorf("calls: set up: %w", err)
 	}
 	report := &CallsReport{Run: newRun("calls", options.Seed, options.Proxies)}
-	cpuBefore, err := readUsage(b.fleet.Proxies[0])
+	cpuBefore, err := readUsage(e.fleet.Proxies[0])
 	if err != nil {
 		return err
 	}
-	report.Ways = b.measureAddedLatency()
-	cpuAfter, err := readUsage(b.fleet.Proxies[0])
+	report.Ways = e.measureAddedLatency()
+	cpuAfter, err := readUsage(e.fleet.Proxies[0])
 	if err != nil {
 		return err
 	}
 	report.NodeCPU = (cpuAfter.cpuSeconds - cpuBefore.cpuSeconds) * 1e6 / float64(report.Ways[2].Calls)
-	report.Chains = b.measureChains()
-	report.Amplification = b.measureAmplification()
-	report.Goodput = b.measureGoodput()
-	usage, err := readRoleUsage(b.fleet.Proxies)
+	report.Chains = e.measureChains()
+	report.Amplification = e.measureAmplification()
+	report.Goodput = e.measureGoodput()
+	usage, err := readRoleUsage(e.fleet.Proxies)
 	if err != nil {
 		return err
 	}
@@ -142,39 +144,39 @@
 	return report.write(options, out)
 }
 
-func (b *callsExperiment) start() error {
+func (e *callsExperiment) start() error {
 	var err error
-	if b.folder, err = os.MkdirTemp("", "bramblelift-calls-"); err != nil {
+	if e.folder, err = os.MkdirTemp("", "bramblelift-calls-"); err != nil {
 		return err
 	}
-	if b.platform, err = standin.StartPlatform(0); err != nil {
+	if e.platform, err = standin.StartPlatform(0); err != nil {
 		return err
 	}
-	if err := b.startServices(); err != nil {
+	if err := e.startServices(); err != nil {
 		return err
 	}
-	b.platform.SetMachines(b.machines())
-	b.fleet, err = fleet.New(fleet.Config{
-		Folder: filepath.Join(b.folder, "fleet"), Cluster: cluster, Zones: []string{"a", "b"},
-		Replicas: replicas, Relays: 2, Proxies: b.options.Proxies, PlatformURL: b.platform.ListURL(),
+	e.platform.SetMachines(e.machines())
+	e.fleet, err = fleet.New(fleet.Config{
+		Folder: filepath.Join(e.folder, "fleet"), Cluster: cluster, Zones: []string{"a", "b"},
+		Replicas: replicas, Relays: 2, Proxies: e.options.Proxies, PlatformURL: e.platform.ListURL(),
 	})
 	if err != nil {
 		return err
 	}
-	if err := b.fleet.Start(); err != nil {
+	if err := e.fleet.Start(); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), setupLimit)
 	defer cancel()
-	if _, _, err := b.fleet.Publish(ctx, callsBundle); err != nil {
+	if _, _, err := e.fleet.Publish(ctx, callsBundle); err != nil {
 		return err
 	}
-	if err := fleet.WaitReady(ctx, b.fleet.Proxies); err != nil {
+	if err := fleet.WaitReady(ctx, e.fleet.Proxies); err != nil {
 		return err
 	}
 	// Allow time for the machine list to reach the nodes.
 	time.Sleep(2 * time.Second)
-	return b.startBareProxy()
+	return e.startBareProxy()
 }
 
 const callsBundle = `
@@ -206,9 +208,9 @@
 timeout = "2s"
 `
 
-func (b *callsExperiment) startServices() error {
+func (e *callsExperiment) startServices() error {
 	for range chainBackends {
-		for _, list := range []*[]*chain.Service{&b.chains, &b.declines} {
+		for _, list := range []*[]*chain.Service{&e.chains, &e.decliningServices} {
 			service, err := chain.Start()
 			if err != nil {
 				return err
@@ -224,68 +226,68 @@
 		if err != nil {
 			return err
 		}
-		b.loaded = append(b.loaded, backend)
+		e.loaded = append(e.loaded, backend)
 	}
 	return nil
 }
 
-func (b *callsExperiment) machines() []standin.Machine {
+func (e *callsExperiment) machines() []standin.Machine {
 	var all []standin.Machine
 	add := func(service, address string) {
 		all = append(all, standin.Machine{Service: service, ID: fmt.Sprintf("%s-%d", service, len(all)), Incarnation: 1, Address: address, Zone: "a"})
 	}
-	for _, service := range b.chains {
+	for _, service := range e.chains {
 		add(serviceChain, service.Address())
 	}
-	for _, service := range b.declines {
+	for _, service := range e.decliningServices {
 		add(serviceDecline, service.Address())
 	}
-	for _, backend := range b.loaded {
+	for _, backend := range e.loaded {
 		add(serviceLoaded, backend.Address())
 	}
 	return all
 }
 
 // startBareProxy runs the bare reverse proxy in a separate process, like the nodes.
-func (b *callsExperiment) startBareProxy() error {
+func (e *callsExperiment) startBareProxy() error {
 	self, err := os.Executable()
 	if err != nil {
 		return fmt.Errorf("start bare proxy: %w", err)
 	}
-	if b.bareProxyAddress, err = b.fleet.FreeAddress(); err != nil {
+	if e.bareProxyAddress, err = e.fleet.FreeAddress(); err != nil {
 		return err
 	}
-	b.bareProxy = fleet.NewProcess("bare", filepath.Join(b.folder, "bare.log"), self,
-		"bare-proxy", "--listen", b.bareProxyAddress, "--target", b.chains[0].Address())
-	if err := b.bareProxy.Start(); err != nil {
+	e.bareProxy = fleet.NewProcess("bare", filepath.Join(e.folder, "bare.log"), self,
+		"bare-proxy", "--listen", e.bareProxyAddress, "--target", e.chains[0].Address())
+	if err := e.bareProxy.Start(); err != nil {
 		return err
 	}
-	return waitForListener(b.bareProxyAddress)
+	return waitForListener(e.bareProxyAddress)
 }
 
-func (b *callsExperiment) stop() {
-	if b.bareProxy != nil {
-		b.bareProxy.Kill()
+func (e *callsExperiment) stop() {
+	if e.bareProxy != nil {
+		e.bareProxy.Kill()
 	}
-	if b.fleet != nil {
-		b.fleet.Kill()
+	if e.fleet != nil {
+		e.fleet.Kill()
 	}
-	for _, service := range append(b.chains, b.declines...) {
+	for _, service := range append(e.chains, e.decliningServices...) {
 		service.Stop()
 	}
-	for _, backend := range b.loaded {
+	for _, backend := range e.loaded {
 		backend.Stop()
 	}
-	if b.platform != nil {
-		b.platform.Stop()
+	if e.platform != nil {
+		e.platform.Stop()
 	}
-	os.RemoveAll(b.folder)
+	os.RemoveAll(e.folder)
 }
 
 // nodes returns the call addresses of all nodes.
-func (b *callsExperiment) nodes() []string {
+func (e *callsExperiment) nodes() []string {
 	var all []string
-	for _, node := range b.fleet.Proxies {
+	for _, node := range e.fleet.Proxies {
 		all = append(all, node.Address)
 	}
 	return all
@@ -299,9 +301,9 @@
 	return all
 }
 
-func (b *callsExperiment) run(addresses []string, path string, rate float64) load.OpenResult {
+func (e *callsExperiment) run(addresses []string, path string, rate float64) load.OpenResult {
 	return load.RunOpen(context.Background(), load.OpenConfig{
-		URLs: urls(addresses, path), Method: http.MethodGet, Rate: rate, Duration: b.options.Duration,
-		Timeout: callTimeout, Seed: b.options.Seed,
+		URLs: urls(addresses, path), Method: http.MethodGet, Rate: rate, Duration: e.options.Duration,
+		Timeout: callTimeout, Seed: e.options.Seed,
 	})
 }
--- a/pkg/bench/experiment/calls_measure.go
+++ b/pkg/bench/experiment/calls_measure.go
@@ -32,50 +32,50 @@
 
 // measureAddedLatency measures calls directly to a back end, through the bare proxy and
 // through a node. It alternates between them, so that noise affects all three alike.
-func (b *callsExperiment) measureAddedLatency() []PathLatency {
-	for _, service := range b.chains {
+func (e *callsExperiment) measureAddedLatency() []PathLatency {
+	for _, service := range e.chains {
 		service.Configure(chain.Config{})
 	}
-	ways := []struct {
+	paths := []struct {
 		name    string
 		address string
 	}{
-		{"direct", b.chains[0].Address()}, {"bare reverse proxy", b.bareProxyAddress}, {"bramblelift", b.nodes()[0]},
+		{"direct", e.chains[0].Address()}, {"bare reverse proxy", e.bareProxyAddress}, {"bramblelift", e.nodes()[0]},
 	}
 	histograms := map[string]*hdrhistogram.Histogram{}
-	for range b.options.Rounds {
-		for _, way := range ways {
-			result := b.run([]string{way.address}, "/chain/0", b.options.Rate)
-			if histograms[way.name] == nil {
-				histograms[way.name] = result.Latency
+	for range e.options.Rounds {
+		for _, path := range paths {
+			result := e.run([]string{path.address}, "/chain/0", e.options.Rate)
+			if histograms[path.name] == nil {
+				histograms[path.name] = result.Latency
 			} else {
-				histograms[way.name].Merge(result.Latency)
+				histograms[path.name].Merge(result.Latency)
 			}
 		}
 	}
 	var latencies []PathLatency
-	for _, way := range ways {
-		h := histograms[way.name]
-		latencies = append(latencies, PathLatency{Way: way.name, Calls: int(h.TotalCount()), P50: percentileMillis(h, 50), P99: percentileMillis(h, 99)})
+	for _, path := range paths {
+		h := histograms[path.name]
+		latencies = append(latencies, PathLatency{Way: path.name, Calls: int(h.TotalCount()), P50: percentileMillis(h, 50), P99: percentileMillis(h, 99)})
 	}
 	return latencies
 }
 
 // measureChains measures call chains with and without nodes between the services.
-func (b *callsExperiment) measureChains() []ChainLatency {
+func (e *callsExperiment) measureChains() []ChainLatency {
 	var backends []string
-	for _, service := range b.chains {
+	for _, service := range e.chains {
 		backends = append(backends, service.Address())
 	}
 	var measured []ChainLatency
-	for _, depth := range []int{1, 3, 9, b.options.Depth} {
+	for _, depth := range []int{1, 3, 9, e.options.Depth} {
 		// Keep the total rate of calls, over all hops, the same for each depth.
-		rate := max(5, b.options.Rate/float64(depth))
+		rate := max(5, e.options.Rate/float64(depth))
 		path := fmt.Sprintf("/chain/%d", depth-1)
-		b.configureChains(backends)
-		direct := b.run(backends, path, rate)
-		b.configureChains(b.nodes())
-		viaNodes := b.run(b.nodes(), path, rate)
+		e.configureChains(backends)
+		direct := e.run(backends, path, rate)
+		e.configureChains(e.nodes())
+		viaNodes := e.run(e.nodes(), path, rate)
 		measured = append(measured, ChainLatency{
 			Depth: depth, DirectP50: percentileMillis(direct.Latency, 50), DirectP99: percentileMillis(direct.Latency, 99),
 			NodeP50: percentileMillis(viaNodes.Latency, 50), NodeP99: percentileMillis(viaNodes.Latency, 99),
@@ -84,21 +84,21 @@
 	return measured
 }
 
-func (b *callsExperiment) configureChains(next []string) {
-	for _, service := range b.chains {
+func (e *callsExperiment) configureChains(next []string) {
+	for _, service := range e.chains {
 		service.Configure(chain.Config{Next: next, Prefix: "/chain"})
 	}
 }
 
 // measureAmplification makes the last service of a chain decline every call and counts the
 // attempts that reach it.
-func (b *callsExperiment) measureAmplification() Amplification {
-	for _, service := range b.declines {
-		service.Configure(chain.Config{Next: b.nodes(), Prefix: "/decline", LeafDeclines: true})
+func (e *callsExperiment) measureAmplification() Amplification {
+	for _, service := range e.decliningServices {
+		service.Configure(chain.Config{Next: e.nodes(), Prefix: "/decline", LeafDeclines: true})
 	}
-	result := b.run(b.nodes(), fmt.Sprintf("/decline/%d", amplificationDepth-1), b.options.Rate/amplificationDepth)
+	result := e.run(e.nodes(), fmt.Sprintf("/decline/%d", amplificationDepth-1), e.options.Rate/amplificationDepth)
 	measured := Amplification{Depth: amplificationDepth, Roots: result.Calls}
-	for _, service := range b.declines {
+	for _, service := range e.decliningServices {
 		measured.LeafAttempts += service.LeafCalls()
 	}
 	measured.PerRoot = float64(measured.LeafAttempts) / float64(max(1, measured.Roots))
@@ -106,12 +106,12 @@
 }
 
 // measureGoodput offers loads from half to three times the capacity of the back ends.
-func (b *callsExperiment) measureGoodput() []Goodput {
+func (e *callsExperiment) measureGoodput() []Goodput {
 	capacity := goodputBackends * goodputSlots / goodputWork.Seconds()
 	var measured []Goodput
 	for _, share := range []float64{0.5, 0.8, 1, 1.5, 2, 3} {
-		result := b.run(b.nodes(), "/loaded/x", capacity*share)
-		seconds := b.options.Duration.Seconds()
+		result := e.run(e.nodes(), "/loaded/x", capacity*share)
+		seconds := e.options.Duration.Seconds()
 		measured = append(measured, Goodput{
 			Load: share, Offered: float64(result.Calls) / seconds, Answered: float64(result.Answered) / seconds,
 			Refused: float64(result.Refused) / seconds, Failed: result.Failed,
@@ -127,8 +127,8 @@
 	}
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "way\tcalls\tp50 ms\tp99 ms\t")
-	for _, way := range r.Ways {
-		fmt.Fprintf(table, "%s\t%d\t%.3f\t%.3f\t\n", way.Way, way.Calls, way.P50, way.P99)
+	for _, path := range r.Ways {
+		fmt.Fprintf(table, "%s\t%d\t%.3f\t%.3f\t\n", path.Way, path.Calls, path.P50, path.P99)
 	}
 	fmt.Fprintln(table, "\t\t\t\t\ndepth\tdirect p50\tdirect p99\tnodes p50\tnodes p99\tadded a hop p50\t")
 	for _, c := range r.Chains {
--- a/pkg/bench/experiment/converge.go
+++ b/pkg/bench/experiment/converge.go
@@ -160,8 +160,8 @@
 	return result, nil
 }
 
-// linkBytes returns the bytes sent over each kind of link between two samples. Each link
-// is counted at one of its ends.
+// linkBytes returns the bytes sent over each kind of link between two samples. Each byte
+// is counted once.
 func linkBytes(from, to costSample) map[string]int64 {
 	difference := func(a, b roleUsage, link string) int64 { return int64(b.links[link] - a.links[link]) }
 	return map[string]int64{
--- a/pkg/bench/experiment/report.go
+++ b/pkg/bench/experiment/report.go
@@ -48,22 +48,22 @@
 	return Run{Commit: version.Revision(), Profile: profileName, Seed: seed, Nodes: nodes}
 }
 
-func (f *SystemResult) setPerNodeBytes(nodes, changes int) {
-	f.PerNode = float64(f.NodeBytes.Total()) / float64(nodes)
-	f.PerNodeChange = f.PerNode / float64(changes)
+func (r *SystemResult) setPerNodeBytes(nodes, changes int) {
+	r.PerNode = float64(r.NodeBytes.Total()) / float64(nodes)
+	r.PerNodeChange = r.PerNode / float64(changes)
 }
 
 // writeTable prints the results as a table, followed by byte counts for each system.
 func writeTable(out io.Writer, all []SystemResult) {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "system\tp50 ms\tp99 ms\tworst ms\tbytes/node\tbytes/node/change\tidle B/s/node\t")
-	for _, f := range all {
+	for _, r := range all {
 		fmt.Fprintf(table, "%s\t%.1f\t%.1f\t%.1f\t%.0f\t%.0f\t%.0f\t\n",
-			f.System, f.Convergence.P50, f.Convergence.P99, f.Convergence.Worst, f.PerNode, f.PerNodeChange, f.IdleBytes)
+			r.System, r.Convergence.P50, r.Convergence.P99, r.Convergence.Worst, r.PerNode, r.PerNodeChange, r.IdleBytes)
 	}
 	table.Flush()
-	for _, f := range all {
-		fmt.Fprintf(out, "%s: bytes of the nodes by kind of frame:%s; by link:%s\n", f.System, listBytes(f.NodeBytes), listBytes(f.LinkBytes))
+	for _, r := range all {
+		fmt.Fprintf(out, "%s: bytes of the nodes by kind of frame:%s; by link:%s\n", r.System, listBytes(r.NodeBytes), listBytes(r.LinkBytes))
 	}
 }
 
--- a/pkg/bench/experiment/system.go
+++ b/pkg/bench/experiment/system.go
@@ -24,9 +24,9 @@
 	// convergeLimit is the time after which a change that is not in force everywhere fails
 	// the experiment.
 	convergeLimit = 30 * time.Second
-	// nodePing and nodeSilence equal the defaults of a real node.
-	nodePing    = 2 * time.Second
-	nodeSilence = 5 * time.Second
+	// nodePingInterval and nodeSilenceTimeout equal the defaults of a real node.
+	nodePingInterval   = 2 * time.Second
+	nodeSilenceTimeout = 5 * time.Second
 )
 
 // system runs the product for a measurement: real control replicas and relays, a few real
@@ -116,7 +116,7 @@
 	}
 	s.hollowNodes = hollow.NewNodeSet(hollow.Config{
 		Cluster: cluster, Verifier: verifier, Relays: relays,
-		Timing:  settings.Timing{PingInterval: bundle.Duration(nodePing), SilenceTimeout: bundle.Duration(nodeSilence)},
+		Timing:  settings.Timing{PingInterval: bundle.Duration(nodePingInterval), SilenceTimeout: bundle.Duration(nodeSilenceTimeout)},
 		InForce: s.recorder.InForce,
 	}, identities)
 	return nil
@@ -135,7 +135,8 @@
 	os.RemoveAll(s.folder)
 }
 
-// change makes one change and registers it with the recorder.
+// change restarts a machine or rolls out a changed bundle, depending on kind, after the
+// recorder starts to time it.
 func (s *system) change(kind string) error {
 	if kind == changeEndpoint {
 		change := s.work.restartMachine(s.groupOf)
@@ -165,7 +166,7 @@
 	links      map[string]float64
 }
 
-func readUsage(node *fleet.Node) (usage, error) {
+func readUsage(node *fleet.Member) (usage, error) {
 	read := usage{links: map[string]float64{}}
 	cpu, err := fleet.Metric(node, "process_cpu_seconds_total")
 	if err != nil {
@@ -203,7 +204,7 @@
 	links  map[string]float64
 }
 
-func readRoleUsage(nodes []*fleet.Node) (roleUsage, error) {
+func readRoleUsage(nodes []*fleet.Member) (roleUsage, error) {
 	sum := roleUsage{count: len(nodes), links: map[string]float64{}}
 	for _, node := range nodes {
 		read, err := readUsage(node)
@@ -226,7 +227,8 @@
 	relay       roleUsage
 	node        roleUsage
 	hollowNodes tally.Bytes
-	platform    int64
+	// platform is the number of machine-list bytes that the platform has served.
+	platform int64
 }
 
 func (s *system) sampleCosts() (costSample, error) {
--- a/pkg/bench/faultnet/faultnet.go
+++ b/pkg/bench/faultnet/faultnet.go
@@ -107,8 +107,8 @@
 	return func(l Link) bool { return match(l.Server) }
 }
 
-// Delay adds a permanent delay to each direction of the matching links. Heal keeps it.
-func (n *Network) Delay(match func(Link) bool, delay time.Duration) error {
+// DelayPermanently adds a delay to each direction of the matching links. Heal keeps it.
+func (n *Network) DelayPermanently(match func(Link) bool, delay time.Duration) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for link, proxy := range n.proxies {
--- a/pkg/bench/fleet/fleet.go
+++ b/pkg/bench/fleet/fleet.go
@@ -19,7 +19,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Config describes a fleet.
+// Config sets the size, zones, folder and external services of a fleet.
 type Config struct {
 	// Folder is the directory for settings, data and logs. New creates it.
 	Folder   string
@@ -32,16 +32,18 @@
 	// Groups are assigned to the proxies in rotation. If empty, proxies have no group.
 	Groups []string
 	// ProxyData gives each proxy a data folder.
-	ProxyData   bool
+	ProxyData bool
+	// PlatformURL is the URL of the platform's machine list.
 	PlatformURL string
-	SourceURL   string
+	// SourceURL is the base URL of the bundle files.
+	SourceURL string
 	// Through, if set, returns the address that the client uses to reach the server at
 	// address, for example that of a fault proxy.
 	Through func(client, server, address string) (string, error)
 }
 
-// Node is a control replica, relay or proxy process with its addresses.
-type Node struct {
+// Member is a control replica, relay or proxy process with its addresses.
+type Member struct {
 	*Process
 	Zone    string
 	Group   string
@@ -52,9 +54,9 @@
 // Fleet is a system of control replicas, relays and proxies on this machine.
 type Fleet struct {
 	Config    Config
-	Controls  []*Node
-	Relays    []*Node
-	Proxies   []*Node
+	Controls  []*Member
+	Relays    []*Member
+	Proxies   []*Member
 	KeyFile   string
 	key       ed25519.PrivateKey
 	publicKey string
@@ -84,24 +86,24 @@
 
 func (f *Fleet) createNodes() error {
 	for i := range f.Config.Replicas {
-		if err := f.addNode(&f.Controls, fmt.Sprintf("control-%d", i+1), i); err != nil {
+		if err := f.addMember(&f.Controls, fmt.Sprintf("control-%d", i+1), i); err != nil {
 			return err
 		}
 	}
 	for i := range f.Config.Relays {
-		if err := f.addNode(&f.Relays, fmt.Sprintf("relay-%d", i+1), i); err != nil {
+		if err := f.addMember(&f.Relays, fmt.Sprintf("relay-%d", i+1), i); err != nil {
 			return err
 		}
 	}
 	for i := range f.Config.Proxies {
-		if err := f.addNode(&f.Proxies, fmt.Sprintf("proxy-%d", i+1), i); err != nil {
+		if err := f.addMember(&f.Proxies, fmt.Sprintf("proxy-%d", i+1), i); err != nil {
 			return err
 		}
 	}
 	return f.writeSettings()
 }
 
-func (f *Fleet) addNode(list *[]*Node, name string, index int) error {
+func (f *Fleet) addMember(list *[]*Member, name string, index int) error {
 	address, err := f.ports.address()
 	if err != nil {
 		return err
@@ -110,69 +112,69 @@
 	if err != nil {
 		return err
 	}
-	node := &Node{
+	member := &Member{
 		Process: &Process{Name: name, Log: filepath.Join(f.Config.Folder, name+".log"), binary: f.binary},
 		Zone:    f.Config.Zones[index%len(f.Config.Zones)], Address: address, Admin: admin,
 	}
 	if len(f.Config.Groups) > 0 {
-		node.Group = f.Config.Groups[index%len(f.Config.Groups)]
+		member.Group = f.Config.Groups[index%len(f.Config.Groups)]
 	}
-	*list = append(*list, node)
+	*list = append(*list, member)
 	return nil
 }
 
-func (f *Fleet) commonSettings(node *Node) settings.Common {
+func (f *Fleet) commonSettings(member *Member) settings.Common {
 	return settings.Common{
-		Cluster: f.Config.Cluster, Name: node.Name, Zone: node.Zone,
-		AdminListen: node.Admin, ApprovalKeys: []string{f.publicKey},
+		Cluster: f.Config.Cluster, Name: member.Name, Zone: member.Zone,
+		AdminListen: member.Admin, ApprovalKeys: []string{f.publicKey},
 	}
 }
 
 func (f *Fleet) writeSettings() error {
-	for _, node := range f.Controls {
-		peers, err := f.peers(node, f.Controls)
+	for _, member := range f.Controls {
+		peers, err := f.peers(member, f.Controls)
 		if err != nil {
 			return err
 		}
 		config := settings.Control{
-			Common: f.commonSettings(node), Data: f.DataFolder(node.Name), Listen: node.Address, Replicas: peers,
+			Common: f.commonSettings(member), Data: f.DataFolder(member.Name), Listen: member.Address, Replicas: peers,
 			PlatformURL: f.Config.PlatformURL, SourceURL: f.Config.SourceURL,
 		}
-		if err := f.writeNodeSettings(node, "control", config); err != nil {
+		if err := f.writeMemberSettings(member, "control", config); err != nil {
 			return err
 		}
 	}
-	for _, node := range f.Relays {
-		peers, err := f.peers(node, f.Controls)
+	for _, member := range f.Relays {
+		peers, err := f.peers(member, f.Controls)
 		if err != nil {
 			return err
 		}
-		if err := f.writeNodeSettings(node, "relay", settings.Relay{Common: f.commonSettings(node), Listen: node.Address, Controls: peers}); err != nil {
+		if err := f.writeMemberSettings(member, "relay", settings.Relay{Common: f.commonSettings(member), Listen: member.Address, Controls: peers}); err != nil {
 			return err
 		}
 	}
-	for _, node := range f.Proxies {
-		if err := f.writeProxySettings(node); err != nil {
+	for _, member := range f.Proxies {
+		if err := f.writeProxySettings(member); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (f *Fleet) writeProxySettings(node *Node) error {
-	peers, err := f.peers(node, f.Relays)
+func (f *Fleet) writeProxySettings(member *Member) error {
+	peers, err := f.peers(member, f.Relays)
 	if err != nil {
 		return err
 	}
-	config := settings.Proxy{Common: f.commonSettings(node), Group: node.Group, Listen: node.Address, Relays: peers}
+	config := settings.Proxy{Common: f.commonSettings(member), Group: member.Group, Listen: member.Address, Relays: peers}
 	if f.Config.ProxyData {
-		config.Data = f.DataFolder(node.Name)
+		config.Data = f.DataFolder(member.Name)
 	}
-	return f.writeNodeSettings(node, "proxy", config)
+	return f.writeMemberSettings(member, "proxy", config)
 }
 
 // peers lists servers with the addresses that the client uses for them.
-func (f *Fleet) peers(client *Node, servers []*Node) ([]settings.Peer, error) {
+func (f *Fleet) peers(client *Member, servers []*Member) ([]settings.Peer, error) {
 	var peers []settings.Peer
 	for _, server := range servers {
 		address := server.Address
@@ -192,32 +194,32 @@
 	return filepath.Join(f.Config.Folder, "data", name)
 }
 
-func (f *Fleet) writeNodeSettings(node *Node, role string, config any) error {
+func (f *Fleet) writeMemberSettings(member *Member, role string, config any) error {
 	text, err := toml.Marshal(config)
 	if err != nil {
-		return fmt.Errorf("settings of %s: %w", node.Name, err)
+		return fmt.Errorf("settings of %s: %w", member.Name, err)
 	}
-	path := filepath.Join(f.Config.Folder, node.Name+".toml")
+	path := filepath.Join(f.Config.Folder, member.Name+".toml")
 	if err := os.WriteFile(path, text, 0o600); err != nil {
-		return fmt.Errorf("settings of %s: %w", node.Name, err)
+		return fmt.Errorf("settings of %s: %w", member.Name, err)
 	}
-	node.args = []string{role, "--settings", path}
+	member.args = []string{role, "--settings", path}
 	return nil
 }
 
 // Start initializes the control replicas and starts every process.
 func (f *Fleet) Start() error {
-	for _, node := range f.Controls {
-		initialize := &Process{Name: node.Name + "-init", Log: node.Log, binary: f.binary, args: append(append([]string(nil), node.args...), "--init")}
+	for _, member := range f.Controls {
+		initialize := &Process{Name: member.Name + "-init", Log: member.Log, binary: f.binary, args: append(append([]string(nil), member.args...), "--init")}
 		if err := initialize.Start(); err != nil {
 			return err
 		}
 		if err := initialize.Wait(10 * time.Second); err != nil {
-			return fmt.Errorf("create %s: %w", node.Name, err)
+			return fmt.Errorf("create %s: %w", member.Name, err)
 		}
 	}
-	for _, node := range f.All() {
-		if err := node.Start(); err != nil {
+	for _, member := range f.All() {
+		if err := member.Start(); err != nil {
 			return err
 		}
 	}
@@ -225,8 +227,8 @@
 }
 
 // All returns the control replicas, relays and proxies, in this order.
-func (f *Fleet) All() []*Node {
-	var all []*Node
+func (f *Fleet) All() []*Member {
+	var all []*Member
 	all = append(all, f.Controls...)
 	all = append(all, f.Relays...)
 	return append(all, f.Proxies...)
@@ -234,10 +236,10 @@
 
 // Kill kills every process that is still running, frozen ones too.
 func (f *Fleet) Kill() {
-	for _, node := range f.All() {
-		if node.Running() {
-			_ = node.Thaw()
-			node.Kill()
+	for _, member := range f.All() {
+		if member.Running() {
+			_ = member.Thaw()
+			member.Kill()
 		}
 	}
 }
@@ -251,8 +253,8 @@
 // Operators returns the operator API addresses of the control replicas.
 func (f *Fleet) Operators() []string {
 	var addresses []string
-	for _, node := range f.Controls {
-		addresses = append(addresses, node.Admin)
+	for _, member := range f.Controls {
+		addresses = append(addresses, member.Admin)
 	}
 	return addresses
 }
@@ -308,22 +310,22 @@
 }
 
 // Leader returns the control replica that reports itself as the leader.
-func (f *Fleet) Leader() (*Node, error) {
-	for _, node := range f.Controls {
+func (f *Fleet) Leader() (*Member, error) {
+	for _, member := range f.Controls {
 		var status struct {
 			Role string `json:"role"`
 		}
-		if node.Running() && node.Status(&status) == nil && status.Role == "leader" {
-			return node, nil
+		if member.Running() && member.Status(&status) == nil && status.Role == "leader" {
+			return member, nil
 		}
 	}
 	return nil, errors.New("no control replica reports itself as leader")
 }
 
 // Get requests a path of the process's administration API and returns status and body.
-func (n *Node) Get(path string) (status int, body []byte, err error) {
+func (m *Member) Get(path string) (status int, body []byte, err error) {
 	client := &http.Client{Timeout: 2 * time.Second}
-	response, err := client.Get("http://" + n.Admin + path)
+	response, err := client.Get("http://" + m.Admin + path)
 	if err != nil {
 		return 0, nil, err
 	}
@@ -333,30 +335,30 @@
 }
 
 // Status decodes the JSON status page of the process into target.
-func (n *Node) Status(target any) error {
-	code, body, err := n.Get("/status")
+func (m *Member) Status(target any) error {
+	code, body, err := m.Get("/status")
 	if err != nil {
 		return err
 	}
 	if code != http.StatusOK {
-		return fmt.Errorf("status of %s: %d", n.Name, code)
+		return fmt.Errorf("status of %s: %d", m.Name, code)
 	}
 	return json.Unmarshal(body, target)
 }
 
 // Ready reports whether the readiness check of the process succeeds.
-func (n *Node) Ready() bool {
-	code, _, err := n.Get("/ready")
+func (m *Member) Ready() bool {
+	code, _, err := m.Get("/ready")
 	return err == nil && code == http.StatusOK
 }
 
 // WaitReady waits until every given process is ready or the context ends.
-func WaitReady(ctx context.Context, nodes []*Node) error {
-	for _, node := range nodes {
-		for !node.Ready() {
+func WaitReady(ctx context.Context, members []*Member) error {
+	for _, member := range members {
+		for !member.Ready() {
 			select {
 			case <-ctx.Done():
-				return fmt.Errorf("%s is not ready: %w", node.Name, ctx.Err())
+				return fmt.Errorf("%s is not ready: %w", member.Name, ctx.Err())
 			case <-time.After(20 * time.Millisecond):
 			}
 		}
--- a/pkg/bench/fleet/metrics.go
+++ b/pkg/bench/fleet/metrics.go
@@ -8,8 +8,8 @@
 
 // ControlBytes returns the number of control-traffic bytes that a process has sent and
 // received, from its metrics.
-func ControlBytes(node *Node) (float64, error) {
-	samples, err := Metric(node, "bramblelift_control_bytes_total")
+func ControlBytes(member *Member) (float64, error) {
+	samples, err := Metric(member, "bramblelift_control_bytes_total")
 	if err != nil {
 		return 0, err
 	}
@@ -21,10 +21,10 @@
 }
 
 // Metric returns the samples of one metric of a process, keyed by label text.
-func Metric(node *Node, name string) (map[string]float64, error) {
-	_, body, err := node.Get("/metrics")
+func Metric(member *Member, name string) (map[string]float64, error) {
+	_, body, err := member.Get("/metrics")
 	if err != nil {
-		return nil, fmt.Errorf("metrics of %s: %w", node.Name, err)
+		return nil, fmt.Errorf("metrics of %s: %w", member.Name, err)
 	}
 	samples := map[string]float64{}
 	for line := range strings.Lines(string(body)) {
@@ -35,7 +35,7 @@
 		split := strings.LastIndexByte(rest, ' ')
 		value, err := strconv.ParseFloat(rest[split+1:], 64)
 		if err != nil {
-			return nil, fmt.Errorf("metric %s of %s: %w", name, node.Name, err)
+			return nil, fmt.Errorf("metric %s of %s: %w", name, member.Name, err)
 		}
 		samples[rest[:split]] = value
 	}
--- a/pkg/bench/fleet/process.go
+++ b/pkg/bench/fleet/process.go
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// Signal sends a signal to the process.
+// Signal sends a signal to the process. It fails if the process was never started.
 func (p *Process) Signal(signal syscall.Signal) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -114,7 +114,8 @@
 	return p.err
 }
 
-// Running reports whether the process is running.
+// Running reports whether the process was started and has not exited; a frozen process is
+// running.
 func (p *Process) Running() bool {
 	p.mu.Lock()
 	done := p.done
@@ -164,8 +165,8 @@
 	return "", errors.New("no free port")
 }
 
-// FindBinary returns the path of the bramblelift program: in the directory BRAMBLELIFT_BIN
-// if set, else beside the running executable.
+// FindBinary returns the path of the bramblelift program: in the directory named by the
+// environment variable BRAMBLELIFT_BIN if it is set, else beside the running executable.
 func FindBinary() (string, error) {
 	folder := os.Getenv("BRAMBLELIFT_BIN")
 	if folder == "" {
--- a/pkg/bench/hollow/node.go
+++ b/pkg/bench/hollow/node.go
@@ -1,5 +1,6 @@
-// Package hollow runs many nodes in one process. A hollow node has the configuration
-// keeper and the subscription of a real node, over real connections, but no data plane.
+// Package hollow runs many nodes in one process. A hollow node subscribes to relays over
+// real connections and verifies and holds their configuration like a real node, but has no
+// data plane.
 package hollow
 
 import (
@@ -64,7 +65,7 @@
 func (n *Node) Start() error {
 	runClock := clock.New()
 	keeper, err := proxy.NewKeeper(proxy.KeeperConfig{
-		Group: n.Group, Verifier: n.config.Verifier, InForce: n.recordState,
+		Group: n.Group, Verifier: n.config.Verifier, InForce: n.onInForce,
 		OnFailure: func(error) {},
 	})
 	if err != nil {
@@ -98,7 +99,7 @@
 	return nil
 }
 
-func (n *Node) recordState(state *distribution.State) {
+func (n *Node) onInForce(state *distribution.State) {
 	n.mu.Lock()
 	n.serving = true
 	n.mu.Unlock()
--- a/pkg/bench/load/load.go
+++ b/pkg/bench/load/load.go
@@ -1,5 +1,5 @@
-// Package load generates calls through nodes, verifies each response against the expected
-// body and records the outcome.
+// Package load generates closed-loop and open-loop calls and records their outcomes.
+// Closed-loop calls also verify the response body.
 package load
 
 import (
@@ -44,7 +44,7 @@
 
 // Run sends calls until the context ends and adds them to the history. Calls in flight at
 // that time are completed.
-func Run(ctx context.Context, config Config, record *history.History) {
+func Run(ctx context.Context, config Config, callHistory *history.History) {
 	client := &http.Client{Timeout: config.Timeout, Transport: &http.Transport{
 		MaxIdleConnsPerHost: maxIdleConns, DisableCompression: true,
 	}}
@@ -52,7 +52,7 @@
 	var group sync.WaitGroup
 	for i := range config.Callers {
 		group.Go(func() {
-			c := &caller{config: config, client: client, record: record, index: i,
+			c := &caller{config: config, client: client, callHistory: callHistory, index: i,
 				random: rand.New(rand.NewPCG(config.Seed, uint64(i)))}
 			c.run(ctx)
 		})
@@ -61,12 +61,12 @@
 }
 
 type caller struct {
-	config Config
-	client *http.Client
-	record *history.History
-	random *rand.Rand
-	index  int
-	sent   int
+	config      Config
+	client      *http.Client
+	callHistory *history.History
+	random      *rand.Rand
+	index       int
+	sent        int
 }
 
 func (c *caller) run(ctx context.Context) {
@@ -98,7 +98,7 @@
 		upload = bytes.Repeat([]byte("x"), c.random.IntN(maxUploadBytes))
 	}
 	Send(c.client, method, "http://"+node+path+"/"+call.ID, upload, c.random.IntN(maxResponseBytes)+1, &call)
-	c.record.AddCall(call)
+	c.callHistory.AddCall(call)
 }
 
 // Send performs one call that asks for a response of the given length in bytes, and fills
--- a/pkg/bench/profile/bundle.go
+++ b/pkg/bench/profile/bundle.go
@@ -30,7 +30,7 @@
 
 // StartBackends starts the back ends of the profile, distributed over its zones. They
 // record their executions in the given history.
-func (p Profile) StartBackends(record *history.History) (*Backends, error) {
+func (p Profile) StartBackends(callHistory *history.History) (*Backends, error) {
 	running := &Backends{}
 	for _, service := range p.Services {
 		for i := range service.Backends {
@@ -38,7 +38,7 @@
 				Name: fmt.Sprintf("%s-%d", service.Name, i+1), Service: service.Name,
 				Zone: p.Zones[i%len(p.Zones)], Slots: p.Slots, Connections: p.Connections,
 				ConnectCost: p.ConnectCost, Work: service.Work, LoadLag: loadLag,
-			}, record)
+			}, callHistory)
 			if err != nil {
 				running.Stop()
 				return nil, err
--- a/pkg/bench/standin/backend.go
+++ b/pkg/bench/standin/backend.go
@@ -33,7 +33,8 @@
 	Name    string
 	Service string
 	Zone    string
-	// Slots is the number of calls processed concurrently; further calls are declined.
+	// Slots is the maximum number of calls processed concurrently; further calls are
+	// declined.
 	Slots int
 	// Connections is the number of connections that the back end supports. It is not
 	// enforced.
@@ -86,7 +87,7 @@
 
 // StartBackend starts a back end that records its executions in the given history, which
 // may be nil.
-func StartBackend(config BackendConfig, record *history.History) (*Backend, error) {
+func StartBackend(config BackendConfig, callHistory *history.History) (*Backend, error) {
 	if config.Listen == "" {
 		config.Listen = "127.0.0.1:0"
 	}
@@ -95,7 +96,7 @@
 		return nil, fmt.Errorf("start back end %s: %w", config.Name, err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	b := &Backend{Config: config, history: record, listener: listener, started: time.Now(), stop: cancel}
+	b := &Backend{Config: config, history: callHistory, listener: listener, started: time.Now(), stop: cancel}
 	b.server = &http.Server{Handler: b, ConnState: b.countConnection}
 	go func() { _ = b.server.Serve(&slowListener{Listener: listener, delay: config.ConnectCost}) }()
 	go b.reportLoad(ctx)
--- a/pkg/bench/standin/platform.go
+++ b/pkg/bench/standin/platform.go
@@ -27,12 +27,12 @@
 
 	mu sync.Mutex
 	// lag is the delay after which a new list is served.
-	lag     time.Duration
-	lists   []publishedList
-	bundles map[string]string
-	down    bool
-	reads   int
-	bytes   int64
+	lag          time.Duration
+	lists        []publishedList
+	bundles      map[string]string
+	down         bool
+	requestCount int
+	bytes        int64
 }
 
 type publishedList struct {
@@ -83,11 +83,11 @@
 	p.down = down
 }
 
-// Reads returns the number of requests for the machine list and for bundles.
-func (p *Platform) Reads() int {
+// RequestCount returns the number of requests for the machine list and for bundles.
+func (p *Platform) RequestCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.reads
+	return p.requestCount
 }
 
 // Bytes returns the number of machine-list bytes served.
@@ -102,7 +102,7 @@
 
 func (p *Platform) serveMachines(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
-	p.reads++
+	p.requestCount++
 	down := p.down
 	machines, revision := []Machine{}, 0
 	for i, list := range p.lists {
@@ -136,7 +136,7 @@
 	p.mu.Lock()
 	text, found := p.bundles[r.PathValue("name")]
 	down := p.down
-	p.reads++
+	p.requestCount++
 	p.mu.Unlock()
 	switch {
 	case down:
--- a/test/integration/control_test.go
+++ b/test/integration/control_test.go
@@ -145,7 +145,7 @@
 	s := startSystem(t, nil)
 	s.startRecordingVersions()
 	var zoneProcessNames []string
-	var zoneNodes []*fleet.Node
+	var zoneNodes []*fleet.Member
 	for _, node := range s.All() {
 		if node.Zone == s.profile.Zones[1] {
 			zoneProcessNames = append(zoneProcessNames, node.Name)
--- a/test/integration/node_test.go
+++ b/test/integration/node_test.go
@@ -139,7 +139,7 @@
 	time.Sleep(150 * time.Millisecond)
 	leader, err := s.Leader()
 	is.NoErr(err)
-	for _, process := range []*fleet.Node{leader, s.Relays[0], node} {
+	for _, process := range []*fleet.Member{leader, s.Relays[0], node} {
 		group.Go(func() { is.NoErr(process.Stop(callTimeout)) })
 	}
 	group.Wait()
@@ -152,7 +152,7 @@
 	s.checkHistory()
 }
 
-func (s *system) slowCall(node *fleet.Node, number int) {
+func (s *system) slowCall(node *fleet.Member, number int) {
 	call := history.Call{ID: fmt.Sprintf("slow-%d", number), Node: node.Name, Start: time.Now()}
 	request, err := http.NewRequest(http.MethodGet, "http://"+node.Address+"/pedidos/stock/x", nil)
 	is.New(s.t).NoErr(err)
--- a/test/integration/system_test.go
+++ b/test/integration/system_test.go
@@ -75,7 +75,7 @@
 		s.Fleet.Kill()
 		s.printLogTails()
 	})
-	is.NoErr(s.network.Delay(func(faultnet.Link) bool { return true }, chosen.ZoneLatency))
+	is.NoErr(s.network.DelayPermanently(func(faultnet.Link) bool { return true }, chosen.ZoneLatency))
 	is.NoErr(s.Fleet.Start())
 	s.publish()
 	is.NoErr(fleet.WaitReady(s.context(), s.Proxies))
@@ -120,7 +120,7 @@
 }
 
 // loseDisk kills a process and removes its data folder.
-func (s *system) loseDisk(node *fleet.Node) {
+func (s *system) loseDisk(node *fleet.Member) {
 	s.t.Helper()
 	node.Kill()
 	is.New(s.t).NoErr(os.RemoveAll(s.DataFolder(node.Name)))
@@ -141,7 +141,7 @@
 }
 
 // call sends one call through a node and records it.
-func (s *system) call(node *fleet.Node, method, path, id string, once bool) history.Call {
+func (s *system) call(node *fleet.Member, method, path, id string, once bool) history.Call {
 	call := history.Call{ID: id, Once: once, Node: node.Name}
 	client := &http.Client{Timeout: callTimeout}
 	defer client.CloseIdleConnections()
@@ -152,7 +152,7 @@
 
 // startLoad generates calls to the given nodes until stop is called; stop waits until
 // the last calls have ended.
-func (s *system) startLoad(nodes []*fleet.Node, seed uint64) (stop func()) {
+func (s *system) startLoad(nodes []*fleet.Member, seed uint64) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	var addresses []string
--- a/test/integration/wait_test.go
+++ b/test/integration/wait_test.go
@@ -22,7 +22,7 @@
 }
 
 // awaitVersion waits until the given nodes have a version, or a later one, in force.
-func (s *system) awaitVersion(nodes []*fleet.Node, version uint64) error {
+func (s *system) awaitVersion(nodes []*fleet.Member, version uint64) error {
 	return eventually(convergenceTimeout, func() error {
 		for _, node := range nodes {
 			var status proxy.Status
@@ -39,7 +39,7 @@
 
 // awaitEndpoints waits until the given nodes know a back end of each service, because a
 // version may be rolled out before the control replicas have read the machine list.
-func (s *system) awaitEndpoints(nodes []*fleet.Node) error {
+func (s *system) awaitEndpoints(nodes []*fleet.Member) error {
 	return eventually(convergenceTimeout, func() error {
 		for _, node := range nodes {
 			var status proxy.Status
