--- a/pkg/quota/limiter.go
+++ b/pkg/quota/limiter.go
@@ -68,8 +68,7 @@
 	// tokens is the number of calls that may be admitted while limited, as of tokensAt.
 	tokens   float64
 	tokensAt time.Duration
-	// scheduledRetries estimates how many rejected callers were told to retry before the caller that is
-	// rejected next.
+	// scheduledRetries estimates how many rejected callers will retry earlier than the next rejected caller.
 	scheduledRetries float64
 	// callsSinceReport counts calls after the last report at reportedAt.
 	callsSinceReport float64
--- a/pkg/quota/limiter_test.go
+++ b/pkg/quota/limiter_test.go
@@ -189,7 +189,7 @@
 	shares, known := a.Shares(second, limitOfTen)
 	is.True(known)
 	is.Equal(shares.Nodes, 10)
-	is.True(!shares.List[0].Limited) // 30 calls, below 50 plus the burst
+	is.True(!shares.List[0].Limited) // 30 calls, below the rate times the window of 5 s, plus the burst
 	a.Take(second, newSum("b", 5, 30, 25))
 	shares, _ = a.Shares(second, limitOfTen)
 	is.True(shares.List[0].Limited)
--- a/pkg/quota/limits_test.go
+++ b/pkg/quota/limits_test.go
@@ -62,7 +62,7 @@
 }
 
 type result struct {
-	runs, expected, missing, tenantsOverLimit int
+	runs, expectedCalls, missingCalls, tenantsOverLimit int
 	// maxWindowRatio is the largest ratio of the calls in a window to the allowed number.
 	maxWindowRatio float64
 }
@@ -78,9 +78,9 @@
 	r.runs++
 	for _, tr := range sim.traffic {
 		excess, maxRatio := tr.worstWindow()
-		missing, expected := tr.missing()
-		r.expected += expected
-		r.missing += missing
+		missingCalls, expectedCalls := tr.missingCalls()
+		r.expectedCalls += expectedCalls
+		r.missingCalls += missingCalls
 		r.maxWindowRatio = max(r.maxWindowRatio, maxRatio)
 		if excess > 0 {
 			r.tenantsOverLimit++
@@ -123,23 +123,23 @@
 func TestLimitsHoldOverAllNodes(t *testing.T) {
 	t.Parallel()
 	res := runAll(seedCount())
-	expected, missing := 0, 0
+	expectedCalls, missingCalls := 0, 0
 	for _, fault := range faults {
 		r := res.byFault[fault]
 		if r == nil {
 			continue
 		}
-		expected, missing = expected+r.expected, missing+r.missing
-		if share := float64(r.missing) / float64(r.expected); share > 0.02 {
+		expectedCalls, missingCalls = expectedCalls+r.expectedCalls, missingCalls+r.missingCalls
+		if share := float64(r.missingCalls) / float64(r.expectedCalls); share > 0.02 {
 			t.Errorf("%s: %.2f %% of the expected calls were not admitted", fault, 100*share)
 		}
 		t.Logf("%-24s %3d runs, fullest window %.2f of the allowed number, %5d of %7d expected calls were not admitted (%.3f %%), windows over the limit for %d tenants",
-			fault, r.runs, r.maxWindowRatio, r.missing, r.expected, 100*float64(r.missing)/float64(r.expected), r.tenantsOverLimit)
+			fault, r.runs, r.maxWindowRatio, r.missingCalls, r.expectedCalls, 100*float64(r.missingCalls)/float64(r.expectedCalls), r.tenantsOverLimit)
 	}
 	for _, violation := range res.violations {
 		t.Error(violation)
 	}
-	if share := float64(missing) / float64(expected); share > 0.005 {
+	if share := float64(missingCalls) / float64(expectedCalls); share > 0.005 {
 		t.Errorf("%.2f %% of all expected calls were not admitted", 100*share)
 	}
 }
--- a/pkg/quota/meter.go
+++ b/pkg/quota/meter.go
@@ -10,8 +10,8 @@
 const (
 	// windowBuckets is the number of buckets per window; a count covers up to one bucket more than the window.
 	windowBuckets = 20
-	// reportedBuckets is the number of buckets in a report, by which calls of an ended process run leave the
-	// window.
+	// reportedBuckets is the length of Use.Parts, which determine when the calls of an ended process run leave
+	// the window.
 	reportedBuckets = 5
 	// rateHalfLife is the half-life of a call in the rate: short enough to show a flood in the next report,
 	// longer than the report interval.
@@ -24,14 +24,14 @@
 // slidingWindow counts calls in a sliding window of a given length.
 type slidingWindow struct {
 	counts [windowBuckets]float64
-	// bucket is the number of the newest bucket since time zero.
-	bucket int64
+	// newestBucket is the number of the newest bucket, counted from time zero.
+	newestBucket int64
 }
 
 // add adds n calls at the time now; n may be negative.
 func (w *slidingWindow) add(now, length time.Duration, n float64) {
 	w.advance(now, length)
-	i := w.bucket % windowBuckets
+	i := w.newestBucket % windowBuckets
 	w.counts[i] = max(0, w.counts[i]+n)
 }
 
@@ -50,7 +50,7 @@
 	w.advance(now, length)
 	sum := 0.0
 	for i := range int64(time.Second / (length / windowBuckets)) {
-		sum += w.counts[(w.bucket+1+i)%windowBuckets]
+		sum += w.counts[(w.newestBucket+1+i)%windowBuckets]
 	}
 	return sum
 }
@@ -60,18 +60,18 @@
 	w.advance(now, length)
 	buckets := make([]float32, reportedBuckets)
 	for i := range int64(windowBuckets) {
-		buckets[i*reportedBuckets/windowBuckets] += float32(w.counts[(w.bucket+1+i)%windowBuckets])
+		buckets[i*reportedBuckets/windowBuckets] += float32(w.counts[(w.newestBucket+1+i)%windowBuckets])
 	}
 	return buckets
 }
 
 func (w *slidingWindow) advance(now, length time.Duration) {
 	bucket := int64(now / (length / windowBuckets))
-	for skipped := min(bucket-w.bucket, windowBuckets); skipped > 0; skipped-- {
-		w.bucket++
-		w.counts[w.bucket%windowBuckets] = 0
+	for skipped := min(bucket-w.newestBucket, windowBuckets); skipped > 0; skipped-- {
+		w.newestBucket++
+		w.counts[w.newestBucket%windowBuckets] = 0
 	}
-	w.bucket = max(w.bucket, bucket)
+	w.newestBucket = max(w.newestBucket, bucket)
 }
 
 // rateMeter measures calls per second with an exponentially decaying count. Times are relative to the node's
--- a/pkg/quota/replica_restart.go
+++ b/pkg/quota/replica_restart.go
@@ -41,8 +41,8 @@
 	return rate * float32(reportInterval.Seconds())
 }
 
-// sumsBeforeRestart returns the stored sums, reduced to the process runs that have not arrived at connected
-// replicas.
+// sumsBeforeRestart returns the part of the stored sums that still counts, given the process runs that have
+// arrived at connected replicas.
 func (a *Allocator) sumsBeforeRestart(now time.Duration, connected []Sum) []Sum {
 	a.beforeRestart = slices.DeleteFunc(a.beforeRestart, func(s sumBeforeRestart) bool { return now-s.receivedAt > a.policy.Window })
 	var remaining []Sum
@@ -52,8 +52,8 @@
 	return remaining
 }
 
-// remaining returns the sum as departures of the process runs that have not arrived again. The calls can't be
-// assigned to single runs, so all of them count until every run has arrived.
+// remaining returns the sum's departures, aged, plus one for each process run that has not arrived again and
+// one with all calls, until every run has arrived: the calls can't be assigned to single runs.
 func (s sumBeforeRestart) remaining(now time.Duration, arrived map[Life]bool) Sum {
 	remaining := Sum{}
 	for _, departure := range s.sum.Departures {
--- a/pkg/quota/restarts_test.go
+++ b/pkg/quota/restarts_test.go
@@ -48,19 +48,19 @@
 	t.Parallel()
 	for _, every := range []time.Duration{time.Second, 3 * time.Second} {
 		t.Run(fmt.Sprint(every), func(t *testing.T) {
-			tooFull, fullest, expected, missing := 0, 0.0, 0, 0
+			tooFull, fullest, expectedCalls, missingCalls := 0, 0.0, 0, 0
 			for seed := range int64(seedsPerScenario) {
 				sim := runRestartScenario(seed, base, every)
 				excess, maxRatio := sim.traffic[0].worstWindow()
-				shortfall, admitted := sim.traffic[0].missing()
-				fullest, expected, missing = max(fullest, maxRatio), expected+admitted, missing+shortfall
+				shortfall, admitted := sim.traffic[0].missingCalls()
+				fullest, expectedCalls, missingCalls = max(fullest, maxRatio), expectedCalls+admitted, missingCalls+shortfall
 				if excess > 0 {
 					tooFull++
 					t.Logf("seed %d: %.0f calls too many in a window, %.2f of the allowed number", seed, excess, maxRatio)
 				}
 			}
 			t.Logf("fullest window %.2f of the allowed number, %d of %d expected calls were not admitted (%.1f %%)",
-				fullest, missing, expected, 100*float64(missing)/float64(expected))
+				fullest, missingCalls, expectedCalls, 100*float64(missingCalls)/float64(expectedCalls))
 			if tooFull > 0 {
 				t.Errorf("%d of %d seeds had windows over the limit, the fullest %.2f of the allowed number", tooFull, seedsPerScenario, fullest)
 			}
--- a/pkg/quota/simulation_test.go
+++ b/pkg/quota/simulation_test.go
@@ -298,14 +298,14 @@
 	}
 }
 
-// missing returns how many fewer calls the nodes admitted than the ideal bucket, summed over the windows with a
+// missingCalls returns how many fewer calls the nodes admitted than the ideal bucket, summed over the windows with a
 // shortfall, and how many the bucket admitted.
-func (tr *tenantTraffic) missing() (missing, expected int) {
+func (tr *tenantTraffic) missingCalls() (missingCalls, expected int) {
 	for window, n := range tr.expected {
 		expected += n
-		missing += max(0, n-tr.served[window])
+		missingCalls += max(0, n-tr.served[window])
 	}
-	return missing, expected
+	return missingCalls, expected
 }
 
 func (sim *simulation) ping(i int) {
--- a/pkg/quota/subscribers.go
+++ b/pkg/quota/subscribers.go
@@ -7,7 +7,7 @@
 )
 
 // silentRetention is how long the reports of a silent node count and the part of a silent replica stays
-// reserved. Both may be isolated and still admit calls.
+// reserved. The node, or the replica's nodes, may be isolated and still admit calls.
 const silentRetention = 10 * time.Second
 
 // subscriberReports holds the newest reports of a replica's subscribers. Its zero value is empty.
