--- a/pkg/quarantine/evidence.go
+++ b/pkg/quarantine/evidence.go
@@ -18,7 +18,8 @@
 	// Watched is set if the gate that admitted the request knew it as a suspect. Nodes of earlier releases
 	// don't send it.
 	Watched bool `json:"watched,omitempty"`
-	// Void is set if the crash no longer counts: a response arrived later on the same way, or a trial began.
+	// Void is set if the crash no longer counts: a response arrived later on the same way, or it was voided
+	// for a trial.
 	Void bool `json:"void,omitempty"`
 }
 
--- a/pkg/quarantine/filter.go
+++ b/pkg/quarantine/filter.go
@@ -89,8 +89,7 @@
 	return count
 }
 
-// standing returns the standing for callers and services that have had no response to the request since its
-// last crash.
+// standing returns the standing on ways without a response since the last crash there.
 func (e Entry) standing() Standing {
 	if e.Quarantined {
 		return Quarantined
--- a/pkg/quarantine/judge.go
+++ b/pkg/quarantine/judge.go
@@ -42,9 +42,10 @@
 	observed   map[Fingerprint]observation
 }
 
-// observation records the state of a suspect and since when it has been so: published is set if nodes receive
-// it, crashedWatched if it crashed back ends while watched and no quarantined request explains that.
+// observation is a suspect's state and when each part of it last changed.
 type observation struct {
+	// published is set if nodes receive the suspect, crashedWatched if it crashed back ends while watched and
+	// these crashes are not attributed to a quarantined request.
 	published, crashedWatched, quarantined                           bool
 	changed                                                          uint64
 	publishedAt, crashedWatchedAt, quarantineChangedAt, lastChangeAt time.Duration
--- a/pkg/quarantine/outbox.go
+++ b/pkg/quarantine/outbox.go
@@ -18,10 +18,10 @@
 // Outbox holds a node's evidence until the control plane has had time to replicate it. It is safe for
 // concurrent use.
 type Outbox struct {
-	mu      sync.Mutex
-	ends    []pending[End]
-	answers []pending[Answer]
-	lost    int
+	mu        sync.Mutex
+	crashes   []pending[End]
+	responses []pending[Answer]
+	lost      int
 }
 
 // pending is an item of evidence and when it was first sent.
@@ -35,14 +35,14 @@
 func (o *Outbox) Ended(end End) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return add(o, &o.ends, end)
+	return add(o, &o.crashes, end)
 }
 
 // Answered adds a response to a suspect and reports whether it is new.
 func (o *Outbox) Answered(answer Answer) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return add(o, &o.answers, answer)
+	return add(o, &o.responses, answer)
 }
 
 func add[T comparable](o *Outbox, list *[]pending[T], value T) bool {
@@ -68,7 +68,7 @@
 func (o *Outbox) Take(now time.Duration) Evidence {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return Evidence{Ends: take(&o.ends, now), Answers: take(&o.answers, now)}
+	return Evidence{Ends: take(&o.crashes, now), Answers: take(&o.responses, now)}
 }
 
 // take removes the items that have been resent for long enough and returns the others.
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -81,7 +81,7 @@
 	return Unsuspected
 }
 
-// watchedOrQuarantined reports whether the suspect belongs on the watchlist.
+// watchedOrQuarantined reports whether the suspect may be on the watchlist.
 func (s *Suspect) watchedOrQuarantined() bool { return s.Quarantined || s.crashCount() >= watchCrashes }
 
 // Table holds all suspects. It is immutable; nil is an empty table.
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -314,8 +314,8 @@
 	is.Equal(len(verdicts), 0)
 }
 
-// Crashes at which a quarantined request was also in flight must not count against another request. A crash
-// elsewhere must leave time for a response.
+// Crashes at which a quarantined request was also in flight must not count against another request. After
+// a crash that no quarantined request explains, there must be time for a response.
 func TestCrashesExplainedByQuarantineAreNoEvidence(t *testing.T) {
 	is := is.New(t)
 	table := apply(nil, watchedCrash("fatal", "i1", shop), watchedCrash("fatal", "i2", shop), watchedCrash("fatal", "i3", shop), watchedCrash("fatal", "i4", shop))
--- a/pkg/quarantine/watchlist.go
+++ b/pkg/quarantine/watchlist.go
@@ -13,8 +13,8 @@
 	Answered []Way `json:"answered,omitempty"`
 }
 
-// Watchlist holds all watched and quarantined requests, as sent to nodes. It is immutable; nil is an empty
-// list.
+// Watchlist holds all quarantined requests and up to maxWatched watched ones, as sent to nodes. It is
+// immutable; nil is an empty list.
 type Watchlist struct {
 	// Modified is the revision of the distributed state at its last change.
 	Modified uint64  `json:"modified"`
