--- a/pkg/rollout/budget.go
+++ b/pkg/rollout/budget.go
@@ -133,7 +133,7 @@
 	var list []*processRun
 	for _, g := range view.Gates {
 		run := j.runs[g.Life]
-		if run != nil && run.target && now.Sub(run.reportedAt) <= LeaseTime {
+		if run != nil && run.isNewVersion && now.Sub(run.reportedAt) <= LeaseTime {
 			list = append(list, run)
 		}
 	}
--- a/pkg/rollout/judge.go
+++ b/pkg/rollout/judge.go
@@ -127,7 +127,7 @@
 	}
 	run := j.runs[report.Life]
 	if run == nil {
-		run = &processRun{target: report.Version == j.version, routes: make(map[string]*series)}
+		run = &processRun{isNewVersion: report.Version == j.version, routes: make(map[string]*series)}
 		j.runs[report.Life] = run
 	}
 	if report.Admitted < run.report.Admitted {
@@ -241,10 +241,10 @@
 // bothVersionsFailing reports whether both versions fail so often that they can't be compared. No more
 // calls are moved then unless time runs out.
 func (j *Judge) bothVersionsFailing() bool {
-	var target, old []sample
+	var newSamples, old []sample
 	for _, run := range j.runs {
-		if run.target {
-			target = append(target, run.recentSample(failingTicks))
+		if run.isNewVersion {
+			newSamples = append(newSamples, run.recentSample(failingTicks))
 		} else {
 			old = append(old, run.recentSample(failingTicks))
 		}
@@ -252,7 +252,7 @@
 	if calls, _ := total(old, failures); calls < preferredBaseline || robustRate(old, "", failures) <= failingRate {
 		return false
 	}
-	calls, failed := total(target, failures)
+	calls, failed := total(newSamples, failures)
 	return failed > failingRate/2*calls
 }
 
@@ -261,7 +261,7 @@
 func (j *Judge) cold() bool {
 	cold, all := 0, 0
 	for _, run := range j.runs {
-		if !run.target || j.lastTick.Sub(run.reportedAt) > LeaseTime {
+		if !run.isNewVersion || j.lastTick.Sub(run.reportedAt) > LeaseTime {
 			continue
 		}
 		all++
@@ -294,7 +294,7 @@
 func (j *Judge) endedCalls() uint64 {
 	var sum uint64
 	for _, run := range j.runs {
-		if run.target {
+		if run.isNewVersion {
 			sum += run.answered() + run.failed()
 		}
 	}
--- a/pkg/rollout/judge_test.go
+++ b/pkg/rollout/judge_test.go
@@ -166,12 +166,12 @@
 // evidenceScore returns the score of a window of the new version's back ends against an old version
 // without failures.
 func evidenceScore(backends int, failed map[int]float64, calls ...float64) float64 {
-	var target []sample
+	var newSamples []sample
 	for i, n := range calls {
-		target = append(target, sample{gateRun: uint64(i), target: true, calls: n, failed: failed[i]})
+		newSamples = append(newSamples, sample{gateRun: uint64(i), isNewVersion: true, calls: n, failed: failed[i]})
 	}
 	v := verdict{requiredBackends: requiredBackends(backends)}
-	v.test(tests[0], "service", target, []windowSamples{{old: []sample{{calls: 500}}}})
+	v.test(tests[0], "service", newSamples, []windowSamples{{old: []sample{{calls: 500}}}})
 	return v.score
 }
 
--- a/pkg/rollout/regression_seeds_test.go
+++ b/pkg/rollout/regression_seeds_test.go
@@ -23,8 +23,8 @@
 // Guards against canary calls to cold back ends, which say nothing about times.
 func TestSlowVersionAfterColdRestart(t *testing.T) { checkSeedBounds(t, 2574) }
 
-// This test and the next three guard against a usual time that is itself slow when most responses are
-// slow: the version must get no calls later than 5 s after its 50th bad response.
+// This test and the next three guard against counting slow responses as a back end's usual time when most
+// are slow: the version must get no calls later than 5 s after its 50th bad response.
 func TestSlowVersionInAFailingZone(t *testing.T) { checkSeedBounds(t, 8748) }
 
 func TestSlowVersionWhileStateIsLost(t *testing.T) { checkSeedBounds(t, 8888) }
--- a/pkg/rollout/series.go
+++ b/pkg/rollout/series.go
@@ -61,9 +61,9 @@
 	return c
 }
 
-// route holds the baselines for one route's times. A position is a time on the histogram's axis, in
+// routeBaselines holds the baselines for one route's times. A position is a time on the histogram's axis, in
 // buckets; the times of bucket i are assumed to be spread evenly from i to i+1.
-type route struct {
+type routeBaselines struct {
 	series []*series
 	// median is the position of the old version's median time.
 	median float64
@@ -73,13 +73,13 @@
 }
 
 // computeBaselines computes the baselines of all routes from all responses since the order.
-func (j *Judge) computeBaselines() map[string]*route {
-	routes := make(map[string]*route)
+func (j *Judge) computeBaselines() map[string]*routeBaselines {
+	routes := make(map[string]*routeBaselines)
 	for _, run := range j.runs {
 		for name, s := range run.routes {
 			r := routes[name]
 			if r == nil {
-				r = &route{}
+				r = &routeBaselines{}
 				routes[name] = r
 			}
 			r.series = append(r.series, s)
@@ -98,10 +98,10 @@
 	return routes
 }
 
-func (r *route) oldTimes() Times {
+func (r *routeBaselines) oldTimes() Times {
 	var sum Times
 	for _, s := range r.series {
-		if s.gateRun.target {
+		if s.gateRun.isNewVersion {
 			continue
 		}
 		for i, n := range s.current.times {
@@ -145,10 +145,10 @@
 
 // findSlowBy returns the smallest distance from a back end's usual time that few responses of the old
 // version exceed.
-func (r *route) findSlowBy() float64 {
+func (r *routeBaselines) findSlowBy() float64 {
 	var d distances
 	for _, s := range r.series {
-		if !s.gateRun.target && s.gateRun.usualKnown {
+		if !s.gateRun.isNewVersion && s.gateRun.usualKnown {
 			d.add(s.current.times, r.median+s.gateRun.usualOffset)
 		}
 	}
@@ -179,7 +179,7 @@
 
 // findUsualTime computes the back end's usual time over all routes, as a distance from the routes'
 // medians.
-func (run *processRun) findUsualTime(routes map[string]*route) {
+func (run *processRun) findUsualTime(routes map[string]*routeBaselines) {
 	var d distances
 	sum := uint64(0)
 	for name, s := range run.routes {
@@ -206,14 +206,14 @@
 }
 
 // sampleOf returns the sample of a window, with times classified by the route's baselines.
-func (s *series) sampleOf(ticks int, r *route) sample {
+func (s *series) sampleOf(ticks int, r *routeBaselines) sample {
 	d := s.since(ticks)
 	result := sample{
-		gateRun: s.gateRun.report.Life,
-		zone:    s.gateRun.report.Zone,
-		target:  s.gateRun.target,
-		calls:   float64(d.answered + d.failed),
-		failed:  float64(d.failed),
+		gateRun:      s.gateRun.report.Life,
+		zone:         s.gateRun.report.Zone,
+		isNewVersion: s.gateRun.isNewVersion,
+		calls:        float64(d.answered + d.failed),
+		failed:       float64(d.failed),
 
 		expected: d.expected,
 	}
@@ -237,8 +237,8 @@
 // processRun holds what one run of a gate's process with one back end has reported.
 type processRun struct {
 	report Report
-	// target is set for back ends of the new version.
-	target bool
+	// isNewVersion is set for back ends of the new version.
+	isNewVersion bool
 	// firstDistinct is distinctCalls of the first report that this judge received.
 	firstDistinct uint64
 	reportedAt    time.Time
@@ -276,7 +276,7 @@
 // count, nor do failures at the new version, which are retried and count where they succeed.
 func (run *processRun) distinctCalls() uint64 {
 	distinct := run.report.Admitted - min(run.report.Admitted, run.report.Repeats)
-	if run.target {
+	if run.isNewVersion {
 		distinct -= min(distinct, run.failed())
 	}
 	return distinct
--- a/pkg/rollout/verdict.go
+++ b/pkg/rollout/verdict.go
@@ -116,9 +116,9 @@
 
 // sample summarizes the calls of one back end in a window, of one route or of all routes.
 type sample struct {
-	gateRun uint64
-	zone    string
-	target  bool
+	gateRun      uint64
+	zone         string
+	isNewVersion bool
 	// calls counts ended calls, failed the failures among them.
 	calls, failed float64
 	// times counts the responses with a known time, serviceTail those slow for the service. compared
@@ -185,7 +185,7 @@
 	if one.calls == 0 {
 		return
 	}
-	if one.target {
+	if one.isNewVersion {
 		s.newVersion = append(s.newVersion, one)
 	} else {
 		s.old = append(s.old, one)
@@ -194,7 +194,7 @@
 
 // add merges the sample of another route of the same back end.
 func (s *sample) add(o sample) {
-	s.gateRun, s.zone, s.target = o.gateRun, o.zone, o.target
+	s.gateRun, s.zone, s.isNewVersion = o.gateRun, o.zone, o.isNewVersion
 	s.calls, s.failed = s.calls+o.calls, s.failed+o.failed
 	s.times, s.serviceTail = s.times+o.times, s.serviceTail+o.serviceTail
 	s.compared, s.slowForBackend = s.compared+o.compared, s.slowForBackend+o.slowForBackend
@@ -221,11 +221,11 @@
 	}
 }
 
-// test looks for evidence that target samples are bad more often than old ones of the same window, or of a
+// test looks for evidence that new samples are bad more often than old ones of the same window, or of a
 // wider one if that has too few calls.
-func (v *verdict) test(t test, scope string, target []sample, byWindow []windowSamples) {
+func (v *verdict) test(t test, scope string, newSamples []sample, byWindow []windowSamples) {
 	m := t.measure
-	if calls, bad := total(target, m); bad <= t.floor*calls {
+	if calls, bad := total(newSamples, m); bad <= t.floor*calls {
 		return // no baseline is below the floor
 	}
 	var old []sample
@@ -253,8 +253,8 @@
 		}
 		return p
 	}
-	v.raise(zoneBoundedScore(target, v.evidenceLimit(target), base, t), func() string {
-		calls, bad := total(target, m)
+	v.raise(zoneBoundedScore(newSamples, v.evidenceLimit(newSamples), base, t), func() string {
+		calls, bad := total(newSamples, m)
 		oldCalls, oldBad := total(old, m)
 		return fmt.Sprintf("%s %s: %.0f of %.0f calls, old version %.0f of %.0f", scope, t.description, bad, calls, oldBad, oldCalls)
 	})
@@ -262,9 +262,9 @@
 
 // evidenceLimit returns the bound on one back end's evidence, which is lower while other back ends have
 // calls in the same window.
-func (v *verdict) evidenceLimit(target []sample) func(s sample) float64 {
+func (v *verdict) evidenceLimit(newSamples []sample) func(s sample) float64 {
 	all := 0.0
-	for _, s := range target {
+	for _, s := range newSamples {
 		all += s.calls
 	}
 	share := 1 / float64(v.requiredBackends)
@@ -276,14 +276,14 @@
 	}
 }
 
-// zoneBoundedScore returns the evidence against the target samples as a fraction of the threshold. It
+// zoneBoundedScore returns the evidence against the new samples as a fraction of the threshold. It
 // bounds the evidence of each back end and requires evidence outside of each zone.
-func zoneBoundedScore(target []sample, limit func(s sample) float64, base func(zone string) float64, t test) float64 {
+func zoneBoundedScore(newSamples []sample, limit func(s sample) float64, base func(zone string) float64, t test) float64 {
 	best := 0.0
 	for _, excess := range t.excesses {
 		byZone, callsIn := make(map[string]float64), make(map[string]float64)
 		sum, all := 0.0, 0.0
-		for _, s := range target {
+		for _, s := range newSamples {
 			calls, bad := t.measure(s)
 			p0 := base(s.zone)
 			if !t.timing {
@@ -317,7 +317,7 @@
 func (j *Judge) backends() int {
 	n := 0
 	for _, run := range j.runs {
-		if run.target {
+		if run.isNewVersion {
 			n++
 		}
 	}
@@ -326,9 +326,9 @@
 
 // testShift compares the mean times of whole back ends, which detects a version whose responses are all
 // slow.
-func (v *verdict) testShift(scope string, target []sample, byWindow []windowSamples) {
+func (v *verdict) testShift(scope string, newSamples []sample, byWindow []windowSamples) {
 	tooFewTimes := func(s sample) bool { return s.times < minShiftTimes }
-	target = slices.DeleteFunc(slices.Clone(target), tooFewTimes)
+	newSamples = slices.DeleteFunc(slices.Clone(newSamples), tooFewTimes)
 	var old []sample
 	for _, window := range byWindow {
 		if old = slices.DeleteFunc(slices.Clone(window.old), tooFewTimes); len(old) > 2 {
@@ -339,14 +339,14 @@
 	if 2*len(old) < len(all) {
 		old = all
 	}
-	if len(target) == 0 || len(old) < 2 {
+	if len(newSamples) == 0 || len(old) < 2 {
 		return
 	}
-	target = withoutExtremes(target, sample.meanLog2)
-	newMean, _ := meanAndDeviation(target)
+	newSamples = withoutExtremes(newSamples, sample.meanLog2)
+	newMean, _ := meanAndDeviation(newSamples)
 	oldMean, _ := meanAndDeviation(old)
 	_, sd := meanAndDeviation(all)
-	n := float64(len(target))
+	n := float64(len(newSamples))
 	allowed := shiftMargin + (shiftSigmas+smallSampleSigmas/n)*max(sd, minSpread)*math.Sqrt(1/n+1/float64(len(old)))
 	v.raise(max(0, (newMean-oldMean)/allowed), func() string {
 		return fmt.Sprintf("%s takes %.1f times as long", scope, math.Pow(2, newMean-oldMean))
@@ -356,19 +356,19 @@
 // testFailureSum rolls the version back after maxFailures failures, without its worst back ends, if they far
 // exceed those expected at the old version's rate and are not confined to one of several zones.
 func (j *Judge) testFailureSum(v *verdict) {
-	var target []*processRun
+	var newRuns []*processRun
 	for _, run := range j.runs {
-		if run.target {
-			target = append(target, run)
+		if run.isNewVersion {
+			newRuns = append(newRuns, run)
 		}
 	}
-	slices.SortFunc(target, func(a, b *processRun) int { return cmp.Compare(a.failed(), b.failed()) })
-	if len(target) >= 3 {
-		target = target[:len(target)-(len(target)+4)/5]
+	slices.SortFunc(newRuns, func(a, b *processRun) int { return cmp.Compare(a.failed(), b.failed()) })
+	if len(newRuns) >= 3 {
+		newRuns = newRuns[:len(newRuns)-(len(newRuns)+4)/5]
 	}
 	var all failureTally
 	byZone := make(map[string]failureTally)
-	for _, run := range target {
+	for _, run := range newRuns {
 		tally := failureTally{failed: float64(run.failed()), ended: float64(run.failed() + run.answered()), allowed: 2 * run.expectedFailures()}
 		all = all.plus(tally)
 		byZone[run.report.Zone] = byZone[run.report.Zone].plus(tally)
@@ -409,14 +409,14 @@
 	var byWindow [len(recentTicks)][]sample
 	for i, ticks := range recentTicks {
 		for _, run := range j.runs {
-			if !run.target {
+			if !run.isNewVersion {
 				byWindow[i] = append(byWindow[i], run.recentSample(ticks))
 			}
 		}
 	}
 	rates := make(map[string]float64)
 	for _, run := range j.runs {
-		if !run.target {
+		if !run.isNewVersion {
 			continue
 		}
 		zone := run.report.Zone
@@ -469,7 +469,7 @@
 	}
 }
 
-// upperRate returns an upper bound of the pooled rate.
+// upperRate returns the rate of bad calls over all samples, raised by a margin for chance.
 func upperRate(list []sample, m measure) float64 {
 	calls, bad := total(list, m)
 	if calls < 1 {
