--- a/pkg/routing/routing.go
+++ b/pkg/routing/routing.go
@@ -30,8 +30,10 @@
 	// Credential is sent to the back end; empty for none.
 	Credential string
 	Timeout    time.Duration
-	Once       bool
-	Kind       bundle.Kind
+	// Once forbids retries of calls that may have run, regardless of their method.
+	Once bool
+	// Kind tells whether a call may run more than once.
+	Kind bundle.Kind
 	// MaxAttempts is the largest number of back ends that one call is sent to; zero for no bound.
 	MaxAttempts   int
 	Priority      int
@@ -68,7 +70,8 @@
 	Address     string
 	Zone        string
 	// Gate is the address of the back end's gate, which receives its calls; empty for none.
-	Gate     string
+	Gate string
+	// Capacity is the number of calls that the back end runs concurrently, zero if unknown.
 	Capacity int
 	Leaving  bool
 	// Region is the region of the zone, empty if unknown.
@@ -99,8 +102,9 @@
 	Endpoints  []Endpoint
 }
 
-// Table maps hosts and paths to routes, services and tenants of one state.
+// Table holds the routes, services and tenants of one state, and finds routes by host and path.
 type Table struct {
+	// Version is the version of the active bundle, Revision that of the distributed state.
 	Version  uint64
 	Revision uint64
 	// Limits bound the requests of callers.
