--- a/pkg/retry/budget_test.go
+++ b/pkg/retry/budget_test.go
@@ -37,7 +37,7 @@
 	is.True(b.Withdraw(3 * time.Second)) // PerSecond has refilled the budget
 }
 
-// Guards against charged calls that add to the traffic on top of the retries.
+// Calls charged to the budget must reduce the retries that it allows.
 func TestChargesReduceRetries(t *testing.T) {
 	is := is.New(t)
 	b := NewBudget(Config{Ratio: 0.1, Max: 20})
--- a/pkg/retry/throttle.go
+++ b/pkg/retry/throttle.go
@@ -18,13 +18,13 @@
 )
 
 // Throttle implements client-side throttling ("Site Reliability Engineering", Beyer and others, 2016,
-// chapter 21): it drops requests in proportion to the share that servers rejected recently, so that
-// requests likely to be rejected do not add to an overload. It is safe for concurrent use; the zero value
-// allows everything.
+// chapter 21): it drops requests once servers recently rejected more than a tolerated share, the more the larger
+// the excess, so that requests likely to be rejected do not add to an overload. It is safe for concurrent use;
+// the zero value allows everything.
 type Throttle struct {
-	mu                 sync.Mutex
-	requested, granted float64
-	updatedAt          time.Duration
+	mu            sync.Mutex
+	sent, granted float64
+	updatedAt     time.Duration
 }
 
 // Allow reports whether to send a request, for a random number in [0, 1), and counts the request if so.
@@ -32,11 +32,11 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.decay(now)
-	rejectProbability := max(0, (t.requested-requestMultiple*t.granted-freeRequests)/(t.requested+1))
+	rejectProbability := max(0, (t.sent-requestMultiple*t.granted-freeRequests)/(t.sent+1))
 	if random < rejectProbability {
 		return false
 	}
-	t.requested++
+	t.sent++
 	return true
 }
 
@@ -53,26 +53,26 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.decay(now)
-	t.requested = max(t.granted, t.requested-1)
+	t.sent = max(t.granted, t.sent-1)
 }
 
 // NotGranted returns the share of recent requests that were rejected or are pending, from 0 to 1.
 func (t *Throttle) NotGranted(now time.Duration) float64 {
-	requested, granted := t.Counts(now)
-	return max(0, (requested-granted)/(requested+freeRequests))
+	sent, granted := t.Counts(now)
+	return max(0, (sent-granted)/(sent+freeRequests))
 }
 
 // Counts returns the numbers of recent requests and grants, weighted by age.
-func (t *Throttle) Counts(now time.Duration) (requested, granted float64) {
+func (t *Throttle) Counts(now time.Duration) (sent, granted float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.decay(now)
-	return t.requested, t.granted
+	return t.sent, t.granted
 }
 
 func (t *Throttle) decay(now time.Duration) {
 	factor := clock.Kept(max(0, now-t.updatedAt), halfLife)
-	t.requested *= factor
+	t.sent *= factor
 	t.granted *= factor
 	t.updatedAt = now
 }
--- a/pkg/retry/throttle_test.go
+++ b/pkg/retry/throttle_test.go
@@ -8,7 +8,7 @@
 )
 
 // send offers 100 requests a second for a number of seconds and returns how many the throttle allowed.
-func send(t *Throttle, from time.Duration, seconds int, granted func(n int) bool) (requested int) {
+func send(t *Throttle, from time.Duration, seconds int, granted func(n int) bool) (sent int) {
 	for n := range 100 * seconds {
 		now := from + time.Duration(n)*10*time.Millisecond
 		// Multiples of the golden ratio are evenly distributed.
@@ -16,12 +16,12 @@
 		if !t.Allow(now, random-float64(int(random))) {
 			continue
 		}
-		requested++
+		sent++
 		if granted(n) {
 			t.Granted(now)
 		}
 	}
-	return requested
+	return sent
 }
 
 func TestThrottleFollowsGrantedShare(t *testing.T) {
@@ -31,14 +31,14 @@
 	is.Equal(send(&throttle, 0, 5, always), 500)
 	is.Equal(send(&throttle, 5*time.Second, 5, func(n int) bool { return n%4 != 0 }), 500) // a quarter rejected is below the tolerated two thirds
 	count := 0
-	requested := send(&throttle, 10*time.Second, 10, func(int) bool { count++; return count%10 == 0 })
-	is.True(requested < 600) // a tenth is granted, so most requests are dropped
-	requested = send(&throttle, 20*time.Second, 10, func(int) bool { return false })
-	is.True(requested > 3 && requested < 300)                 // it keeps probing
+	sent := send(&throttle, 10*time.Second, 10, func(int) bool { count++; return count%10 == 0 })
+	is.True(sent < 600) // a tenth is granted, so most requests are dropped
+	sent = send(&throttle, 20*time.Second, 10, func(int) bool { return false })
+	is.True(sent > 3 && sent < 300)                           // it keeps probing
 	is.True(send(&throttle, 30*time.Second, 4, always) > 300) // free capacity is detected
 }
 
-// Guards against a share that ignores pending requests or that overrates a few of them.
+// Guards against a share that ignores pending requests or is high after only a few of them.
 func TestNotGrantedCountsRejectedAndPendingRequests(t *testing.T) {
 	is := is.New(t)
 	var throttle Throttle
