--- a/pkg/gate/gate.go
+++ b/pkg/gate/gate.go
@@ -143,7 +143,7 @@
 func New(config Config) *Gate {
 	dialer := net.Dialer{Timeout: dialTimeout, Control: wire.SetUserTimeout}
 	capacity := config.Link.Capacity()
-	return &Gate{config: config, inbound: newLinkScheduler(capacity, inboundShare, inboundUsable, config.Link.UnaskedRate),
+	return &Gate{config: config, inbound: newLinkScheduler(capacity, inboundShare, inboundUsableShare, config.Link.UnaskedRate),
 		outbound: newLinkScheduler(capacity, outboundShare, outboundUsable, config.Link.UnbookedRate), transport: &http.Transport{
 			DialContext: exchange.CountWrites(dialer.DialContext), DisableCompression: true,
 			MaxIdleConnsPerHost: maxIdleConnections, IdleConnTimeout: idleTimeout,
--- a/pkg/gate/health.go
+++ b/pkg/gate/health.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// failing returns the share of calls that failed, from 0 to 1.
+// failing estimates the share of recent calls that failed, from 0 to 1; it is low after few calls.
 func (h *health) failing(now time.Duration) float64 {
 	h.decay(now)
 	return h.failed / (h.total + healthPrior)
--- a/pkg/gate/inbound.go
+++ b/pkg/gate/inbound.go
@@ -7,8 +7,8 @@
 	// that other inbound traffic such as small calls, responses, heartbeats and configuration is
 	// not delayed.
 	inboundShare = 0.7
-	// inboundUsable is the share of the link's rate that all inbound traffic may use.
-	inboundUsable = 0.9
+	// inboundUsableShare is the share of the link's rate that all inbound traffic may use.
+	inboundUsableShare = 0.9
 )
 
 // maxBodyLinkWait returns how long a large body may wait for the link so that its call can still
--- a/pkg/gate/inbound_test.go
+++ b/pkg/gate/inbound_test.go
@@ -20,7 +20,7 @@
 func TestBodiesGetLinkRateLeftByOtherTraffic(t *testing.T) {
 	is := is.New(t)
 	otherTraffic := 0.0
-	l := newLinkScheduler(1e6, inboundShare, inboundUsable, func(time.Duration) float64 { return otherTraffic })
+	l := newLinkScheduler(1e6, inboundShare, inboundUsableShare, func(time.Duration) float64 { return otherTraffic })
 	for _, c := range []struct{ otherTraffic, availableRate float64 }{{0, 700_000}, {300_000, 600_000}, {600_000, 300_000}, {790_000, 110_000}, {2e6, 100_000}} {
 		otherTraffic = c.otherTraffic
 		is.Equal(math.Round(l.availableRate(0)), c.availableRate)
@@ -29,7 +29,7 @@
 
 func TestBodiesAreScheduledOneAfterTheOther(t *testing.T) {
 	is := is.New(t)
-	l := newLinkScheduler(1e6, inboundShare, inboundUsable, noOtherTraffic) // 1 MB/s
+	l := newLinkScheduler(1e6, inboundShare, inboundUsableShare, noOtherTraffic) // 1 MB/s
 	first := l.duration(0, 70_000)
 	is.Equal(first, 100*time.Millisecond) // at the share for large bodies
 	due, ok := l.reserve(0, 70_000, 0)
--- a/pkg/gate/outbound.go
+++ b/pkg/gate/outbound.go
@@ -15,7 +15,7 @@
 	// is not delayed.
 	outboundShare = 0.85
 	// outboundUsable is the share of the link's rate that all outbound traffic may use. It exceeds
-	// inboundUsable, since the node paces what it sends.
+	// inboundUsableShare, since the node paces what it sends.
 	outboundUsable = 0.95
 	// minReportedLinkWait is the shortest link wait that load reports mention, about the transfer
 	// time of one large response.
--- a/pkg/gate/rate.go
+++ b/pkg/gate/rate.go
@@ -13,7 +13,7 @@
 	// admit the calls of a second as one burst; the full interval would lose unused time.
 	minSpacing = 0.5
 	// minRate is the lowest rate, in calls per second. It keeps every window shorter than an hour,
-	// so that the time never is before the start of any window.
+	// so that no window starts before the constant never.
 	minRate = 0.001
 	// maxWindowCalls bounds the memory of a window: higher rates are limited to this many calls per
 	// window.
@@ -51,7 +51,7 @@
 	if limit > 0 && len(r.admissions) == 0 {
 		r.last = never
 	}
-	// Unrecorded calls of a larger window are assumed to be as late as the oldest recorded one.
+	// A larger ring has slots without a recorded call: they get the time of the oldest recorded one.
 	for len(resized)+len(r.admissions) < limit {
 		resized = append(resized, r.oldest())
 	}
--- a/pkg/gate/transit_test.go
+++ b/pkg/gate/transit_test.go
@@ -35,7 +35,7 @@
 	is.Equal(len(tracker.processes), 1)                // processes without calls are discarded
 	is.Equal(delay(1, 200_000*ms, 219_900*ms), 0*ms)   // the minimum is discarded after two windows without calls
 	is.Equal(delay(1, 200_100*ms, 220_100*ms), 0*ms)   // a faster call
-	is.Equal(delay(1, 200_200*ms, 220_100*ms), 100*ms) // is the new minimum
+	is.Equal(delay(1, 200_200*ms, 220_100*ms), 100*ms) // a call measured against the faster one
 }
 
 // A call that expired in transit must not reach the back end, and must be reported as not run.
