--- a/pkg/forward/cold_test.go
+++ b/pkg/forward/cold_test.go
@@ -208,7 +208,7 @@
 	is.Equal(f.others.Load(), int64(0))
 	is.True(f.rejected.Load() > 0)
 	is.True(f.served.Load() >= 3*coldRate)
-	is.Equal(f.late.Load(), int64(0)) // the target is 200 ms, the timeout 400 ms
+	is.Equal(f.late.Load(), int64(0)) // no response later than lateAfter
 	for _, b := range f.backends {
 		is.True(!b.failed)
 		is.True(b.coldSeen >= coldRate/2) // every back end is used
--- a/pkg/forward/gate_choice.go
+++ b/pkg/forward/gate_choice.go
@@ -37,8 +37,8 @@
 	maxLocalWaitRatio         = 0.9
 	localWaitRatioPerKilobyte = 0.1
 	baseKilobytes             = 2
-	// A call with a body larger than largeBodyBytes may wait in its own zone for localWaitRatioLarge of
-	// the time until the deadline, after localServiceTimesLarge service times are subtracted.
+	// For bodies larger than largeBodyBytes, localServiceTimesLarge service times are reserved;
+	// localWaitRatioLarge of the remaining time until the deadline may be spent waiting in the own zone.
 	largeBodyBytes         = 16 << 10
 	localServiceTimesLarge = 1.5
 	localWaitRatioLarge    = 0.8
@@ -48,10 +48,10 @@
 	reservedServiceTimes = 1.4
 	minWaitDivisor       = 10
 	// shortWorkDivisor divides the mean service time: calls shorter than that are exempt from the limit
-	// above, since they hardly delay other calls.
+	// by reservedServiceTimes, since they hardly delay other calls.
 	shortWorkDivisor = 3
-	// ownWorkDivisor divides the time left to limit the service time up to which the back end beside
-	// the node is preferred.
+	// The back end beside the node is preferred if the service time is at most the time left divided by
+	// ownWorkDivisor.
 	ownWorkDivisor = 2
 	// bodyTimeDivisor divides the time left to limit the transfer time of a large body.
 	bodyTimeDivisor = 3
--- a/pkg/forward/gated.go
+++ b/pkg/forward/gated.go
@@ -125,7 +125,7 @@
 	g.recordFailure(ticket, failure)
 	if failure.reason.Reached() {
 		g.attempts++
-		g.record.Note(failure.outcome)
+		g.outcomes.Note(failure.outcome)
 	}
 	again = g.mayAttemptNext(ctx, failure)
 	g.reportAttempt(ticket, failure, wait, now, again)
@@ -296,7 +296,7 @@
 		return false
 	}
 	g.closeHeldResponse()
-	g.record.Note(Unknown)
+	g.outcomes.Note(Unknown)
 	g.heldResponse = response
 	g.draw.retrying = true
 	g.excluded = ticket.LeftOut(g.excluded)
@@ -333,7 +333,7 @@
 		}
 		return nil
 	}
-	refusal := &Refusal{Outcome: g.record.Refusal(), Step: step, Reason: reason, Status: http.StatusServiceUnavailable, Fractions: true}
+	refusal := &Refusal{Outcome: g.outcomes.Refusal(), Step: step, Reason: reason, Status: http.StatusServiceUnavailable, Fractions: true}
 	left := g.deadline - g.now()
 	if refusal.Outcome != NotRun {
 		refusal.Status = http.StatusBadGateway
--- a/pkg/forward/gated_test.go
+++ b/pkg/forward/gated_test.go
@@ -142,9 +142,9 @@
 // An unknown outcome is retried only if the call is repeatable and the budget allows it.
 func TestUnknownOutcomeIsRetriedOnlyIfSafeAndWithinBudget(t *testing.T) {
 	for name, test := range map[string]struct {
-		path     string
-		retries  float64
-		attempts int64
+		path        string
+		retryBudget float64
+		attempts    int64
 	}{
 		"safe and paid":   {"/safe/x", 5, 2}, // MaxAttempts is 2
 		"safe and broke":  {"/safe/x", 0, 1},
@@ -156,7 +156,7 @@
 			one, first := fakeGate(t, broken)
 			two, second := fakeGate(t, broken)
 			three, third := fakeGate(t, broken)
-			response := newGatedNode(t, test.retries, one, two, three).call(t, "POST", test.path, "body")
+			response := newGatedNode(t, test.retryBudget, one, two, three).call(t, "POST", test.path, "body")
 			is.Equal(response.StatusCode, http.StatusBadGateway) // the call may have run
 			is.Equal(outcome(response), string(Unknown))
 			is.Equal(response.Header.Get("Retry-After"), "")
@@ -280,7 +280,7 @@
 func TestServerErrorsOfSafeCallsAreRetried(t *testing.T) {
 	for _, c := range []struct {
 		name, path   string
-		retries      float64
+		retryBudget  float64
 		second       http.HandlerFunc
 		status, runs int
 		body         string
@@ -304,7 +304,7 @@
 			}
 			a, _ := fakeGate(t, first)
 			b, _ := fakeGate(t, first)
-			n := newGatedNode(t, c.retries, a, b)
+			n := newGatedNode(t, c.retryBudget, a, b)
 			response := n.call(t, "GET", c.path, "")
 			body, err := io.ReadAll(response.Body)
 			is.NoErr(err)
--- a/pkg/forward/handler.go
+++ b/pkg/forward/handler.go
@@ -299,7 +299,7 @@
 	repeatable bool
 	// attempts counts the attempts that reached a back end; without gates also failed connections.
 	attempts    int
-	record      Record
+	outcomes    Record
 	excludedIDs []string
 	// arrivedAt is when the node received the call, firstAttemptAt when the caller is estimated to have
 	// made its first attempt.
@@ -495,9 +495,9 @@
 		if failure == nil {
 			return nil
 		}
-		c.record.Note(failure.outcome)
+		c.outcomes.Note(failure.outcome)
 		if !c.mayRetry(ctx, failure) {
-			return failure.refusal(c.record.Refusal())
+			return failure.refusal(c.outcomes.Refusal())
 		}
 		c.excludedIDs = append(c.excludedIDs, ticket.ID)
 	}
@@ -511,7 +511,7 @@
 	if err == nil {
 		return ticket, nil
 	}
-	refusal := &Refusal{Outcome: c.record.Refusal(), Step: "choose back end", Reason: fmt.Sprintf("service %s: %v", c.targetService, err),
+	refusal := &Refusal{Outcome: c.outcomes.Refusal(), Step: "choose back end", Reason: fmt.Sprintf("service %s: %v", c.targetService, err),
 		Status: http.StatusServiceUnavailable, RetryAfter: unavailableRetry}
 	if errors.Is(err, balancer.ErrSaturated) {
 		refusal.RetryAfter = saturatedRetry
--- a/pkg/forward/rollout.go
+++ b/pkg/forward/rollout.go
@@ -92,7 +92,7 @@
 	retrying bool
 }
 
-// drawRollout sets the rollout that applies to the call and draws its side.
+// drawRollout sets the rollout that applies to the call and draws the number that selects its side.
 func (g *gatedCall) drawRollout(now time.Duration) {
 	g.draw.rollout = g.service.tracker.active(now)
 	if g.draw.rollout != nil {
