--- a/pkg/balancer/gated.go
+++ b/pkg/balancer/gated.go
@@ -110,7 +110,7 @@
 	if own := p.ownGate(candidates, now, r.OwnWork); own != nil {
 		return p.issueTicket(own), r.OwnWait, nil
 	}
-	params := scoreParams{now: now, fastest: minServiceTime(candidates), failureCost: r.failureCost(), largeAnswer: r.LargeAnswer}
+	params := scoreParams{now: now, fastest: minServiceTime(candidates), failureCost: r.failureCost(), largeResponse: r.LargeAnswer}
 	if free := p.bestFreeGate(candidates, params, r.FreeWork); free != nil {
 		return p.issueTicket(free), r.Patience, nil
 	}
@@ -168,7 +168,7 @@
 	}
 	free := slices.DeleteFunc(slices.Clone(candidates), func(e *endpoint) bool {
 		recent := e.gate.reported && params.now-e.gate.at <= reportMaxAge
-		if params.largeAnswer && e.linkWait(params.now) > e.gate.report.Service {
+		if params.largeResponse && e.linkWait(params.now) > e.gate.report.Service {
 			return true
 		}
 		return !recent || e.gateLoad(params.now) >= e.gateCapacity() || e.gate.report.Service > maxService || e.coldRemaining(params.now) > 0
@@ -249,9 +249,9 @@
 type scoreParams struct {
 	now time.Duration
 	// fastest is the shortest service time of the candidates.
-	fastest     time.Duration
-	failureCost float64
-	largeAnswer bool
+	fastest       time.Duration
+	failureCost   float64
+	largeResponse bool
 }
 
 // prefersLocal reports whether a back end is in the node's own zone and its failure rate and expected wait are
--- a/pkg/balancer/link_wait.go
+++ b/pkg/balancer/link_wait.go
@@ -18,7 +18,7 @@
 // Processing the call overlaps with the wait for the link.
 func (e *endpoint) expectedWait(params scoreParams) time.Duration {
 	wait := e.slotWait(params.now)
-	if params.largeAnswer {
+	if params.largeResponse {
 		wait += max(0, e.linkWait(params.now)-e.gate.report.Service)
 	}
 	return wait
--- a/pkg/balancer/pool.go
+++ b/pkg/balancer/pool.go
@@ -141,8 +141,8 @@
 	return p.chooseSubset(sorted)
 }
 
-// unavailable reports whether a back end gets no new calls: it is leaving, its zone is evacuated or a similar
-// order excludes it, or a rollout closes its gate.
+// unavailable reports whether a back end gets no new calls: it is leaving, the eligibility rules
+// exclude it (as in an evacuated zone), or a rollout closes its gate.
 func unavailable(e routing.Endpoint) bool { return e.Leaving || e.Refused != "" || e.Closing }
 
 func compareBool(a, b bool) int {
