--- a/pkg/link/meter.go
+++ b/pkg/link/meter.go
@@ -51,8 +51,9 @@
 	// had reserved the link.
 	largeResponses, reserved atomic.Int64
 
-	mu                                        sync.Mutex
-	in, out, unscheduled, unreserved, unpaced rate
+	mu sync.Mutex
+	// unscheduledIn is the rate of UnaskedRate, unreservedOut that of UnbookedRate, unpacedOut that of UnpacedRate.
+	in, out, unscheduledIn, unreservedOut, unpacedOut rate
 }
 
 // NewMeter returns a meter for a link with a capacity of bitsPerSecond in each direction, zero if unknown.
@@ -88,7 +89,7 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.unscheduled.sample(now, sum(&m.received)-m.scheduledBodies.Load())
+	return m.unscheduledIn.sample(now, sum(&m.received)-m.scheduledBodies.Load())
 }
 
 // Answer wraps the body of a large response to count its bytes as they are sent; reserved is set if the node's
@@ -136,7 +137,7 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.unreserved.sample(now, sum(&m.sent)-m.reserved.Load())
+	return m.unreservedOut.sample(now, sum(&m.sent)-m.reserved.Load())
 }
 
 // UnpacedRate returns the send rate in bytes per second without large responses, which are paced. The current
@@ -147,7 +148,7 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.unpaced.sample(now, sum(&m.sent)-m.largeResponses.Load())
+	return m.unpacedOut.sample(now, sum(&m.sent)-m.largeResponses.Load())
 }
 
 // Load returns the utilization of the link in its busier direction, as a fraction of its capacity; zero if the
--- a/pkg/link/meter_test.go
+++ b/pkg/link/meter_test.go
@@ -82,7 +82,7 @@
 		is.NoErr(err)
 		is.NoErr(body.Close())
 	}
-	for i := range 100 { // twenty seconds of 100,000 bytes a second, a quarter of them each kind of large response
+	for i := range 100 { // twenty seconds of 100,000 bytes a second, a quarter of them large responses with a reservation, a quarter without
 		m.sent[Nodes].Add(20_000)
 		send(true)
 		send(false)
