--- a/pkg/pipeline/conn.go
+++ b/pkg/pipeline/conn.go
@@ -203,9 +203,9 @@
 	c.queue = nil
 }
 
-// startLinger reports whether the connection must still be read and its input discarded: to notice that the caller
-// disconnects during its last requests, and to avoid a reset after closing. False means that the caller has
-// disconnected or the connection is closed.
+// startLinger prepares to discard further input and reports whether the connection must still be read: to notice
+// that the caller disconnects during its last requests, and to avoid a reset after closing. False means that the
+// caller has disconnected or the connection is closed.
 func (c *conn) startLinger(cause error) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
