--- a/pkg/quarantine/outbox.go
+++ b/pkg/quarantine/outbox.go
@@ -18,10 +18,10 @@
 // Outbox holds a node's evidence until the control plane has had time to replicate it. It is safe for
 // concurrent use.
 type Outbox struct {
-	mu      sync.Mutex
-	ends    []pending[End]
-	answers []pending[Answer]
-	dropped int
+	mu        sync.Mutex
+	crashes   []pending[End]
+	responses []pending[Answer]
+	dropped   int
 }
 
 // pending is an item of evidence and when it was first sent.
@@ -35,14 +35,14 @@
 func (o *Outbox) AddCrash(end End) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return add(o, &o.ends, end)
+	return add(o, &o.crashes, end)
 }
 
 // AddResponse adds a response to a suspect and reports whether it is new.
 func (o *Outbox) AddResponse(answer Answer) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return add(o, &o.answers, answer)
+	return add(o, &o.responses, answer)
 }
 
 func add[T comparable](o *Outbox, list *[]pending[T], value T) bool {
@@ -68,7 +68,7 @@
 func (o *Outbox) Pending(now time.Duration) Evidence {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return Evidence{Ends: due(&o.ends, now), Answers: due(&o.answers, now)}
+	return Evidence{Ends: due(&o.crashes, now), Answers: due(&o.responses, now)}
 }
 
 // due removes the items that have been resent for long enough and returns the others.
--- a/test/integration/node_test.go
+++ b/test/integration/node_test.go
@@ -45,7 +45,7 @@
 }
 
 // TestOnceCallsRunAtMostOnceWhenBackEndsCrash guards against repeated execution, and
-// wrong outcomes, when back ends crash before, after or while they answer a call.
+// wrong outcomes, when back ends crash before, after or while they respond to a call.
 func TestOnceCallsRunAtMostOnceWhenBackEndsCrash(t *testing.T) {
 	s := startSystem(t, nil)
 	for number, backend := range s.backends.All {
@@ -89,8 +89,8 @@
 	s.history.AddCall(call)
 }
 
-// TestLeavingBackEndGetsNoNewCallsWithoutControl guards against nodes that need the
-// control plane to learn from a back end's responses that it is leaving.
+// TestLeavingBackEndGetsNoNewCallsWithoutControl guards against nodes that send new calls
+// to a back end whose responses report that it is leaving, while the control plane is down.
 func TestLeavingBackEndGetsNoNewCallsWithoutControl(t *testing.T) {
 	s := startSystem(t, nil)
 	for _, node := range append(s.Controls, s.Relays...) {
@@ -139,7 +139,7 @@
 	time.Sleep(150 * time.Millisecond)
 	leader, err := s.Leader()
 	is.NoErr(err)
-	for _, process := range []*fleet.Node{leader, s.Relays[0], node} {
+	for _, process := range []*fleet.Member{leader, s.Relays[0], node} {
 		group.Go(func() { is.NoErr(process.Stop(callTimeout)) })
 	}
 	group.Wait()
@@ -152,7 +152,7 @@
 	s.checkHistory()
 }
 
-func (s *system) slowCall(node *fleet.Node, number int) {
+func (s *system) slowCall(node *fleet.Member, number int) {
 	call := history.Call{ID: fmt.Sprintf("slow-%d", number), Node: node.Name, Start: time.Now()}
 	request, err := http.NewRequest(http.MethodGet, "http://"+node.Address+"/pedidos/stock/x", nil)
 	is.New(s.t).NoErr(err)
