--- a/pkg/balancer/distance_test.go
+++ b/pkg/balancer/distance_test.go
@@ -38,7 +38,7 @@
 func countAcquiredByRegion(p *Pool, n int, r GateRequest) map[string]int {
 	regions := map[string]int{}
 	for _, e := range p.endpoints {
-		e.recordReport(0, exchange.Report{Capacity: 2, Service: 100 * time.Millisecond})
+		e.recordReport(0, exchange.Report{Capacity: 2, ServiceTime: 100 * time.Millisecond})
 	}
 	for range n {
 		ticket, _, err := p.AcquireGate(0, r)
@@ -77,7 +77,7 @@
 	service := multiRegionService(40)
 	for i := range service.Endpoints {
 		if service.Endpoints[i].Region == "east" {
-			service.Endpoints[i].Refused = exchange.ReasonEvacuated
+			service.Endpoints[i].RejectReason = exchange.ReasonEvacuated
 		}
 	}
 	p.Update(time.Second, service)
@@ -91,14 +91,14 @@
 	is.True(unavailableCount <= ownZoneSubset) // the other slots hold available back ends
 }
 
-// Regions in Spared get only calls that the own region may not serve, even if the own region is saturated.
-func TestSparedRegionsGetOnlyCallsRestrictedToThem(t *testing.T) {
+// Regions in AvoidedRegions get only calls that the own region may not serve, even if the own region is saturated.
+func TestAvoidedRegionsGetOnlyCallsRestrictedToThem(t *testing.T) {
 	is := is.New(t)
 	p := eastPool(multiRegionService(3))
-	spared := GateRequest{Spared: []string{"west"}}
-	is.Equal(countAcquiredByRegion(p, 40, spared)["east"], 40)
-	spared.Regions = []string{"west"}
-	is.Equal(countAcquiredByRegion(p, 5, spared)["west"], 5)
+	avoiding := GateRequest{AvoidedRegions: []string{"west"}}
+	is.Equal(countAcquiredByRegion(p, 40, avoiding)["east"], 40)
+	avoiding.Regions = []string{"west"}
+	is.Equal(countAcquiredByRegion(p, 5, avoiding)["west"], 5)
 }
 
 // Region restrictions also apply to back ends without gates.
@@ -109,7 +109,7 @@
 	for range 8 {
 		ticket, err := p.Acquire(nil, now, 0, nil, []string{"west"})
 		is.NoErr(err)
-		is.Equal(ticket.FarRegion(), "west")
+		is.Equal(ticket.OtherRegion(), "west")
 	}
 	_, err := p.Acquire(nil, now, 0, nil, []string{"north"})
 	is.Equal(err, ErrNoEndpoint)
--- a/pkg/balancer/failure_rate_test.go
+++ b/pkg/balancer/failure_rate_test.go
@@ -21,7 +21,7 @@
 	p := NewPool(Config{Node: "n", Zone: "z", Random: func(int) int { return 0 }})
 	p.Update(0, service)
 	for _, e := range p.endpoints {
-		e.gate = gateState{reported: true, report: exchange.Report{Capacity: 4, Service: 10 * time.Millisecond, Failing: failureRates[e.target.ID]}}
+		e.gate = gateState{reported: true, report: exchange.Report{Capacity: 4, ServiceTime: 10 * time.Millisecond, FailureRate: failureRates[e.target.ID]}}
 	}
 	return p
 }
@@ -54,7 +54,7 @@
 	is := is.New(t)
 	p := gatedPool(t, []string{"z", "other"}, map[string]float64{"a": 0.4})
 	is.Equal(countAcquired(t, p, 0, 2, GateRequest{LocalWait: 50 * time.Millisecond})["b"], 2)
-	is.Equal(countAcquired(t, p, 0, 1, GateRequest{LocalWait: 50 * time.Millisecond, AskLocal: true})["b"], 1)
+	is.Equal(countAcquired(t, p, 0, 1, GateRequest{LocalWait: 50 * time.Millisecond, LocalGateDecides: true})["b"], 1)
 	p = gatedPool(t, []string{"z", "other"}, map[string]float64{"a": 0.004})
 	is.Equal(countAcquired(t, p, 0, 2, GateRequest{LocalWait: 50 * time.Millisecond})["a"], 2) // a low failure rate keeps the preference
 }
--- a/pkg/bench/experiment/calls.go
+++ b/pkg/bench/experiment/calls.go
@@ -16,7 +16,7 @@
 	"bramblelift/pkg/bench/standin"
 )
 
-// CallsOptions are the flags of the data-plane experiment.
+// CallsOptions are the flags of the calls command, the data-plane experiment.
 type CallsOptions struct {
 	Proxies  int           `long:"proxies" default:"4" description:"how many nodes"`
 	Depth    int           `long:"depth" default:"27" description:"deepest chain of calls"`
@@ -27,16 +27,19 @@
 	JSON     string        `long:"json" value-name:"FILE" description:"write the report as JSON, - for the output"`
 }
 
-// Added is the time of calls over one way.
-type Added struct {
+// PathLatency holds the latency of calls over one path: direct, through the bare reverse
+// proxy or through a node.
+type PathLatency struct {
+	// Way names the path.
 	Way   string  `json:"way"`
 	Calls int     `json:"calls"`
 	P50   float64 `json:"p50_ms"`
 	P99   float64 `json:"p99_ms"`
 }
 
-// Chain is the time of chains of one depth.
-type Chain struct {
+// ChainLatency holds the latency of call chains of one depth, with direct calls between
+// services and with calls through nodes.
+type ChainLatency struct {
 	Depth     int     `json:"depth"`
 	DirectP50 float64 `json:"direct_p50_ms"`
 	DirectP99 float64 `json:"direct_p99_ms"`
@@ -44,7 +47,8 @@
 	NodeP99   float64 `json:"node_p99_ms"`
 }
 
-// Amplification is what a leaf that declines every call gets.
+// Amplification counts the attempts that reach the last service of a chain when that
+// service declines every call.
 type Amplification struct {
 	Depth        int     `json:"depth"`
 	Roots        int     `json:"root_calls"`
@@ -52,8 +56,9 @@
 	PerRoot      float64 `json:"leaf_attempts_per_root_call"`
 }
 
-// Goodput is how calls end at a load relative to what the back ends can carry.
+// Goodput holds the rates and counts of call outcomes at one offered load.
 type Goodput struct {
+	// Load is the offered rate as a multiple of the capacity of the back ends.
 	Load     float64 `json:"load"`
 	Offered  float64 `json:"offered_per_second"`
 	Answered float64 `json:"answered_per_second"`
@@ -63,112 +68,115 @@
 	RefuseMs float64 `json:"refused_p99_ms"`
 }
 
-// CallsReport is what the experiment found.
+// CallsReport holds the results of the data-plane experiment.
 type CallsReport struct {
-	Run           Run           `json:"run"`
-	Ways          []Added       `json:"ways"`
-	Chains        []Chain       `json:"chains"`
-	Amplification Amplification `json:"amplification"`
-	Goodput       []Goodput     `json:"goodput"`
-	NodeMemory    float64       `json:"node_memory_bytes"`
-	// NodeCPU is the processor time of a node for a call, in microseconds.
+	Run Run `json:"run"`
+	// Ways holds the latency of each path: direct, bare reverse proxy, node.
+	Ways          []PathLatency  `json:"ways"`
+	Chains        []ChainLatency `json:"chains"`
+	Amplification Amplification  `json:"amplification"`
+	Goodput       []Goodput      `json:"goodput"`
+	// NodeMemory is the largest resident size of a node in bytes.
+	NodeMemory float64 `json:"node_memory_bytes"`
+	// NodeCPU is the CPU time of a node per call in microseconds.
 	NodeCPU float64 `json:"node_cpu_micros_per_call"`
 }
 
 const (
-	callLimit = 15 * time.Second
-	// goodputSlots, goodputBackends and goodputWork make what the back ends carry.
-	goodputSlots    = 6
-	goodputBackends = 4
-	goodputWork     = 40 * time.Millisecond
-	chainBackends   = 4
-	amplifiedDepth  = 5
-	serviceChain    = "chain"
-	serviceDecline  = "decline"
-	serviceLoaded   = "loaded"
+	callTimeout = 15 * time.Second
+	// goodputSlots, goodputBackends and goodputWork determine the capacity in the goodput
+	// measurement.
+	goodputSlots       = 6
+	goodputBackends    = 4
+	goodputWork        = 40 * time.Millisecond
+	chainBackends      = 4
+	amplificationDepth = 5
+	serviceChain       = "chain"
+	serviceDecline     = "decline"
+	serviceLoaded      = "loaded"
 )
 
-var errBadCalls = errors.New("proxies, depth, rate and rounds must be more than zero")
+var errInvalidCallsOptions = errors.New("proxies, depth, rate and rounds must be more than zero")
 
-// callsBench is the experiment's set-up.
-type callsBench struct {
-	options  CallsOptions
-	folder   string
-	platform *standin.Platform
-	fleet    *fleet.Fleet
-	chains   []*chain.Service
-	declines []*chain.Service
-	loaded   []*standin.Backend
-	bare     *fleet.Process
-	bareAddr string
+// callsExperiment holds the processes and services of a data-plane experiment.
+type callsExperiment struct {
+	options           CallsOptions
+	folder            string
+	platform          *standin.Platform
+	fleet             *fleet.Fleet
+	chains            []*chain.Service
+	decliningServices []*chain.Service
+	loaded            []*standin.Backend
+	bareProxy         *fleet.Process
+	bareProxyAddress  string
 }
 
-// Calls measures the data plane: the time a node adds, chains, retries, and goodput
-// under overload.
+// Calls measures the latency that a node adds, call chains, retry amplification and
+// goodput under overload, and writes the report to out.
 func Calls(options CallsOptions, out io.Writer) error {
 	if options.Proxies < 1 || options.Depth < 1 || options.Rate <= 0 || options.Rounds < 1 {
-		return errBadCalls
+		return errInvalidCallsOptions
 	}
-	b := &callsBench{options: options}
-	defer b.stop()
-	if err := b.start(); err != nil {
+	e := &callsExperiment{options: options}
+	defer e.stop()
+	if err := e.start(); err != nil {
 		return fmt.Errorf("calls: set up: %w", err)
 	}
-	report := &CallsReport{Run: currentRun("calls", options.Seed, options.Proxies)}
-	cpuBefore, err := readUsage(b.fleet.Proxies[0])
+	report := &CallsReport{Run: newRun("calls", options.Seed, options.Proxies)}
+	cpuBefore, err := readUsage(e.fleet.Proxies[0])
 	if err != nil {
 		return err
 	}
-	report.Ways = b.measureAdded()
-	cpuAfter, err := readUsage(b.fleet.Proxies[0])
+	report.Ways = e.measureAddedLatency()
+	cpuAfter, err := readUsage(e.fleet.Proxies[0])
 	if err != nil {
 		return err
 	}
 	report.NodeCPU = (cpuAfter.cpuSeconds - cpuBefore.cpuSeconds) * 1e6 / float64(report.Ways[2].Calls)
-	report.Chains = b.measureChains()
-	report.Amplification = b.measureAmplification()
-	report.Goodput = b.measureGoodput()
-	usage, err := readRole(b.fleet.Proxies)
+	report.Chains = e.measureChains()
+	report.Amplification = e.measureAmplification()
+	report.Goodput = e.measureGoodput()
+	usage, err := readRoleUsage(e.fleet.Proxies)
 	if err != nil {
 		return err
 	}
 	report.NodeMemory = usage.memory
-	return report.show(options, out)
+	return report.write(options, out)
 }
 
-func (b *callsBench) start() error {
+func (e *callsExperiment) start() error {
 	var err error
-	if b.folder, err = os.MkdirTemp("", "bramblelift-calls-"); err != nil {
+	if e.folder, err = os.MkdirTemp("", "bramblelift-calls-"); err != nil {
 		return err
 	}
-	if b.platform, err = standin.StartPlatform(0); err != nil {
+	if e.platform, err = standin.StartPlatform(0); err != nil {
 		return err
 	}
-	if err := b.startServices(); err != nil {
+	if err := e.startServices(); err != nil {
 		return err
 	}
-	b.platform.SetMachines(b.machines())
-	b.fleet, err = fleet.New(fleet.Config{
-		Folder: filepath.Join(b.folder, "fleet"), Cluster: cluster, Zones: []string{"a", "b"},
-		Replicas: replicas, Relays: 2, Proxies: b.options.Proxies, PlatformURL: b.platform.ListURL(),
+	e.platform.SetMachines(e.machines())
+	e.fleet, err = fleet.New(fleet.Config{
+		Folder: filepath.Join(e.folder, "fleet"), Cluster: cluster, Zones: []string{"a", "b"},
+		Replicas: replicas, Relays: 2, Proxies: e.options.Proxies, PlatformURL: e.platform.ListURL(),
 	})
 	if err != nil {
 		return err
 	}
-	if err := b.fleet.Start(); err != nil {
+	if err := e.fleet.Start(); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), setupLimit)
 	defer cancel()
-	if _, _, err := b.fleet.Publish(ctx, callsBundle); err != nil {
+	if _, _, err := e.fleet.Publish(ctx, callsBundle); err != nil {
 		return err
 	}
-	if err := fleet.WaitReady(ctx, b.fleet.Proxies); err != nil {
+	if err := fleet.WaitReady(ctx, e.fleet.Proxies); err != nil {
 		return err
 	}
-	// The platform's list must have reached the nodes.
+	// Allow time for the machine list to reach the nodes.
 	time.Sleep(2 * time.Second)
-	return b.startBare()
+	return e.startBareProxy()
 }
 
 const callsBundle = `
@@ -200,9 +208,9 @@
 timeout = "2s"
 `
 
-func (b *callsBench) startServices() error {
+func (e *callsExperiment) startServices() error {
 	for range chainBackends {
-		for _, list := range []*[]*chain.Service{&b.chains, &b.declines} {
+		for _, list := range []*[]*chain.Service{&e.chains, &e.decliningServices} {
 			service, err := chain.Start()
 			if err != nil {
 				return err
@@ -218,68 +226,68 @@
 		if err != nil {
 			return err
 		}
-		b.loaded = append(b.loaded, backend)
+		e.loaded = append(e.loaded, backend)
 	}
 	return nil
 }
 
-func (b *callsBench) machines() []standin.Machine {
+func (e *callsExperiment) machines() []standin.Machine {
 	var all []standin.Machine
 	add := func(service, address string) {
 		all = append(all, standin.Machine{Service: service, ID: fmt.Sprintf("%s-%d", service, len(all)), Incarnation: 1, Address: address, Zone: "a"})
 	}
-	for _, service := range b.chains {
+	for _, service := range e.chains {
 		add(serviceChain, service.Address())
 	}
-	for _, service := range b.declines {
+	for _, service := range e.decliningServices {
 		add(serviceDecline, service.Address())
 	}
-	for _, backend := range b.loaded {
+	for _, backend := range e.loaded {
 		add(serviceLoaded, backend.Address())
 	}
 	return all
 }
 
-// startBare runs the bare reverse proxy in a process of its own, as the nodes are.
-func (b *callsBench) startBare() error {
+// startBareProxy runs the bare reverse proxy in a separate process, like the nodes.
+func (e *callsExperiment) startBareProxy() error {
 	self, err := os.Executable()
 	if err != nil {
 		return fmt.Errorf("start bare proxy: %w", err)
 	}
-	if b.bareAddr, err = b.fleet.FreeAddress(); err != nil {
+	if e.bareProxyAddress, err = e.fleet.FreeAddress(); err != nil {
 		return err
 	}
-	b.bare = fleet.NewProcess("bare", filepath.Join(b.folder, "bare.log"), self,
-		"bare-proxy", "--listen", b.bareAddr, "--target", b.chains[0].Address())
-	if err := b.bare.Start(); err != nil {
+	e.bareProxy = fleet.NewProcess("bare", filepath.Join(e.folder, "bare.log"), self,
+		"bare-proxy", "--listen", e.bareProxyAddress, "--target", e.chains[0].Address())
+	if err := e.bareProxy.Start(); err != nil {
 		return err
 	}
-	return awaitListening(b.bareAddr)
+	return waitForListener(e.bareProxyAddress)
 }
 
-func (b *callsBench) stop() {
-	if b.bare != nil {
-		b.bare.Kill()
+func (e *callsExperiment) stop() {
+	if e.bareProxy != nil {
+		e.bareProxy.Kill()
 	}
-	if b.fleet != nil {
-		b.fleet.Kill()
+	if e.fleet != nil {
+		e.fleet.Kill()
 	}
-	for _, service := range append(b.chains, b.declines...) {
+	for _, service := range append(e.chains, e.decliningServices...) {
 		service.Stop()
 	}
-	for _, backend := range b.loaded {
+	for _, backend := range e.loaded {
 		backend.Stop()
 	}
-	if b.platform != nil {
-		b.platform.Stop()
+	if e.platform != nil {
+		e.platform.Stop()
 	}
-	os.RemoveAll(b.folder)
+	os.RemoveAll(e.folder)
 }
 
-// nodes returns the addresses that callers use.
-func (b *callsBench) nodes() []string {
+// nodes returns the call addresses of all nodes.
+func (e *callsExperiment) nodes() []string {
 	var all []string
-	for _, node := range b.fleet.Proxies {
+	for _, node := range e.fleet.Proxies {
 		all = append(all, node.Address)
 	}
 	return all
@@ -293,9 +301,9 @@
 	return all
 }
 
-func (b *callsBench) run(addresses []string, path string, rate float64) load.OpenResult {
+func (e *callsExperiment) run(addresses []string, path string, rate float64) load.OpenResult {
 	return load.RunOpen(context.Background(), load.OpenConfig{
-		URLs: urls(addresses, path), Method: http.MethodGet, Rate: rate, Duration: b.options.Duration,
-		Timeout: callLimit, Seed: b.options.Seed,
+		URLs: urls(addresses, path), Method: http.MethodGet, Rate: rate, Duration: e.options.Duration,
+		Timeout: callTimeout, Seed: e.options.Seed,
 	})
 }
--- a/pkg/bundle/validate.go
+++ b/pkg/bundle/validate.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Limits on the size of a bundle and on the values in it.
+// These constants limit the size of a bundle and the values in it.
 const (
 	maxNameLength   = 200
 	maxRoutes       = 20000
@@ -99,9 +99,9 @@
 	}
 }
 
-// Consistent checks that all services and secrets that routes refer to exist in the content. Holders
+// CheckReferences checks that all services and secrets that routes refer to exist in the content. Holders
 // call it before they activate a content. The error is a *ValidationError.
-func (c Content) Consistent() error {
+func (c Content) CheckReferences() error {
 	v := &validator{}
 	for _, route := range c.Routes {
 		v.checkReferences(c, route)
@@ -186,14 +186,14 @@
 				v.add("route", route.Name, "source %q is not a usable node group", group)
 			}
 		}
-		v.checkCallPolicy(route)
+		v.checkRouteFields(route)
 		v.checkReferences(c, route)
 	}
 	v.checkDuplicateMatches(c.Routes)
 }
 
-// checkCallPolicy checks the fields of a route that control how its calls are handled.
-func (v *validator) checkCallPolicy(route Route) {
+// checkRouteFields checks a route's host, kind, limits, regions and shares.
+func (v *validator) checkRouteFields(route Route) {
 	if !route.Kind.Known() {
 		v.add("route", route.Name, "kind %q is none of safe, unsafe, upload and download", route.Kind)
 	}
--- a/pkg/control/announce.go
+++ b/pkg/control/announce.go
@@ -11,7 +11,7 @@
 
 const (
 	// backgroundProposalTimeout bounds a proposal that no operator waits for. A proposal that times out
-	// is repeated: nodes resend their announcements, and the judges look again.
+	// is repeated: nodes resend their announcements, and the leader reevaluates periodically.
 	backgroundProposalTimeout = 2 * time.Second
 	// announceBatchInterval is the minimum time between two commits of announced endpoints. Each commit
 	// sends a message to every replica and every node, so announcements that arrive within the
@@ -114,7 +114,7 @@
 	err := s.runOnLoop(ctx, func(now time.Duration) {
 		node := s.replica.Node()
 		leading = node.LeaseValid(now)
-		changes = s.replica.State().Endpoints.News(endpoints)
+		changes = s.replica.State().Endpoints.ChangesFrom(endpoints)
 		if !leading && node.Leader() != node.ID() && len(changes) > 0 {
 			s.peers.announce(node.Leader(), protocol.Announce{Endpoints: changes})
 		}
--- a/pkg/control/peers.go
+++ b/pkg/control/peers.go
@@ -136,9 +136,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("dial replica %s: %w", address, err)
 	}
-	link := &metrics.Link{}
-	link.Set(metrics.LinkReplica)
-	conn := wire.NewConn(raw, wire.DefaultMaxFrame, peerWriteTimeout, p.server.traffic.Observe(link))
+	role := &metrics.PeerRole{}
+	role.Set(metrics.LinkReplica)
+	conn := wire.NewConn(raw, wire.DefaultMaxFrame, peerWriteTimeout, p.server.traffic.Observe(role))
 	hello := protocol.Hello{ClusterID: p.server.settings.Cluster, Role: protocol.RoleReplica, Name: p.server.settings.Name, Zone: p.server.settings.Zone,
 		Address: ownAddress(p.server.settings), KnowsSuspects: true, Level: catalog.NewestLevel}
 	welcome, err := protocol.Open(conn, hello, handshakeTimeout)
@@ -151,9 +151,9 @@
 	return conn, nil
 }
 
-// announce queues an announcement for the leader. It runs on the event loop.
-func (p *peerSet) announce(leader raft.ReplicaID, announced protocol.Announce) {
-	p.queue(leader, outboundFrame{kind: protocol.KindAnnounce, value: announced})
+// announce queues an announcement for a replica. It runs on the event loop.
+func (p *peerSet) announce(to raft.ReplicaID, announced protocol.Announce) {
+	p.queue(to, outboundFrame{kind: protocol.KindAnnounce, value: announced})
 }
 
 // announceToAll queues an announcement for every other member. It runs on the event loop.
--- a/pkg/control/publish.go
+++ b/pkg/control/publish.go
@@ -15,10 +15,10 @@
 	"bramblelift/pkg/settings"
 )
 
-// Timeouts of the platform interface.
+// Timeouts and intervals of the platform API.
 const (
-	interfaceHeaderTimeout = 5 * time.Second
-	interfaceIdleTimeout   = time.Minute
+	platformAPIHeaderTimeout = 5 * time.Second
+	platformAPIIdleTimeout   = time.Minute
 	// leaseWaitTimeout bounds how long a request waits for a new leader's lease, leasePollInterval is the
 	// interval of the checks. Clients switch to another replica after one second.
 	leaseWaitTimeout  = 700 * time.Millisecond
@@ -31,7 +31,7 @@
 	Base    uint64
 	Version uint64
 	Content bundle.Content
-	// Source is the original document, which Newest returns unchanged.
+	// Source is the original document, which LatestDocument returns unchanged.
 	Source []byte
 }
 
@@ -52,7 +52,7 @@
 	if decided != nil {
 		return errorOrNil(decided.Error)
 	}
-	content = catalog.WithoutHints(content, level)
+	content = catalog.WithoutOptionalFields(content, level)
 	tree, err := bundle.NewTree(content)
 	if err != nil {
 		return fmt.Errorf("compute bundle digest: %w", err)
@@ -111,7 +111,7 @@
 	defer cancel()
 	for {
 		err := s.readWithLease(ctx, read)
-		if _, leading := s.LeaderInterface(); err == nil || !leading {
+		if _, leading := s.LeaderAddress(); err == nil || !leading {
 			return err
 		}
 		select {
@@ -144,15 +144,15 @@
 	return opErr
 }
 
-// Newest returns the document and number of the newest version, zero if there is none. It fails if a
+// LatestDocument returns the document and number of the newest version, zero if there is none. It fails if a
 // newer version could exist.
-func (s *Server) Newest(ctx context.Context) (source []byte, version uint64, err error) {
+func (s *Server) LatestDocument(ctx context.Context) (source []byte, version uint64, err error) {
 	err = s.readAwaitingLease(ctx, func(time.Duration) {
 		source, version = s.replica.Catalog().Source, s.replica.Catalog().HeadVersion()
 	})
 	return source, version, err
 }
 
-func newInterfaceServer(handler http.Handler) *http.Server {
-	return &http.Server{Handler: handler, ReadHeaderTimeout: interfaceHeaderTimeout, IdleTimeout: interfaceIdleTimeout}
+func newPlatformAPIServer(handler http.Handler) *http.Server {
+	return &http.Server{Handler: handler, ReadHeaderTimeout: platformAPIHeaderTimeout, IdleTimeout: platformAPIIdleTimeout}
 }
--- a/pkg/control/rollout_order.go
+++ b/pkg/control/rollout_order.go
@@ -18,12 +18,12 @@
 
 // rolloutErrorCodes maps reasons for rejecting an order to error codes.
 var rolloutErrorCodes = map[error]catalog.Code{
-	rollout.ErrInvalid:        catalog.CodeInvalidRequest,
-	rollout.ErrUnknownService: catalog.CodeUnknownService,
-	rollout.ErrNothingToDo:    catalog.CodeNothingToDo,
-	rollout.ErrConflict:       catalog.CodeRolloutConflict,
-	rollout.ErrNotRunning:     catalog.CodeNoRollout,
-	errEarlierRelease:         catalog.CodeUnavailable,
+	rollout.ErrInvalid:         catalog.CodeInvalidRequest,
+	rollout.ErrUnknownService:  catalog.CodeUnknownService,
+	rollout.ErrAlreadyComplete: catalog.CodeNothingToDo,
+	rollout.ErrConflict:        catalog.CodeRolloutConflict,
+	rollout.ErrNotRunning:      catalog.CodeNoRollout,
+	errEarlierRelease:          catalog.CodeUnavailable,
 }
 
 // rolloutOperationError returns the operation error for a rejected order.
@@ -78,7 +78,7 @@
 			rejection = rollout.Check(order, latest, serviceExists(state, order.Service), liveVersions(state.Endpoints[order.Service]))
 		}
 	})
-	if err == nil && errors.Is(rejection, rollout.ErrUnderWay) {
+	if err == nil && errors.Is(rejection, rollout.ErrAlreadyRunning) {
 		return current, true, nil
 	}
 	if err == nil && rejection != nil {
@@ -99,7 +99,7 @@
 // StopRollout commits the rollback of a service's active rollout. It is idempotent. The error is a
 // *catalog.OperationError.
 func (s *Server) StopRollout(ctx context.Context, service string) (rollout.Rollout, error) {
-	// A concurrent step of the leader makes the stop void, so it is retried.
+	// A concurrent step of the leader invalidates the stop, so it is retried.
 	for range maxStopAttempts {
 		var current *rollout.Rollout
 		err := s.readAwaitingLease(ctx, func(time.Duration) { current = latestRollout(s.replica.State().Orders, service) })
@@ -120,12 +120,12 @@
 	return rollout.Rollout{}, newOperationError(catalog.CodeUnavailable, "service %q: the rollout moves on too fast; try again", service)
 }
 
-// maxStopAttempts bounds the proposals of a stop that concurrent steps make void.
+// maxStopAttempts bounds the proposals of a stop that concurrent steps invalidate.
 const maxStopAttempts = 5
 
-// Rollout returns a service's newest committed rollout, false if there was none. It fails if this replica
+// LatestRollout returns a service's newest committed rollout, false if there was none. It fails if this replica
 // can't rule out a newer state. The error is a *catalog.OperationError.
-func (s *Server) Rollout(ctx context.Context, service string) (current rollout.Rollout, found bool, err error) {
+func (s *Server) LatestRollout(ctx context.Context, service string) (current rollout.Rollout, found bool, err error) {
 	err = s.readAwaitingLease(ctx, func(time.Duration) { current, found = s.replica.State().Orders.RolloutOf(service) })
 	return current, found, err
 }
--- a/pkg/ctl/ctl.go
+++ b/pkg/ctl/ctl.go
@@ -18,7 +18,7 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// Exit codes of bramblectl, which scripts rely on.
+// These constants are the exit codes of bramblectl, on which scripts rely.
 const (
 	// ExitOK means success.
 	ExitOK = 0
@@ -51,7 +51,8 @@
 	context context.Context
 }
 
-// command is implemented by each subcommand.
+// command is implemented by each subcommand. go-flags requires an Execute method too, which does nothing: Main calls
+// run instead.
 type command interface {
 	run(s *session) error
 }
--- a/pkg/distribution/distribution_test.go
+++ b/pkg/distribution/distribution_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-// acceptAllApprovals accepts every approval.
+// acceptAllApprovals is an ApprovalVerifier for tests that need no signatures.
 type acceptAllApprovals struct{}
 
 func (acceptAllApprovals) Verify(bundle.Manifest, bundle.Approval) error { return nil }
@@ -55,7 +55,7 @@
 	}
 }
 
-// Guards against updates that skip changes: one update must bring a holder from any earlier state to
+// An update must not skip changes: one update must bring a holder from any earlier state to
 // exactly the state that its group needs.
 func TestHoldersConvergeToNewestState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -129,7 +129,7 @@
 			t.Fatalf("%s holds zone %s with evacuated=%t", group, zone, held.Orders.Evacuated(zone))
 		}
 	}
-	if held.Active != nil && held.Active.Content.Consistent() != nil {
+	if held.Active != nil && held.Active.Content.CheckReferences() != nil {
 		t.Fatalf("%s holds a route with a missing reference", group)
 	}
 	needed := neededServices(contentOf(held.Active), contentOf(held.Staged))
@@ -160,7 +160,7 @@
 		want    error
 	}{
 		"gap":             {func(u *Update) { u.From += 10; u.To += 10 }, ErrRevisionGap},
-		"older version":   {func(u *Update) { u.Active = 0 }, ErrOlder},
+		"older version":   {func(u *Update) { u.Active = 0 }, ErrOlderVersion},
 		"missing bundle":  {func(u *Update) { u.Bundles = nil }, ErrMissingBundle},
 		"unknown base":    {func(u *Update) { u.Bundles[0].Base = 77 }, ErrMissingBundle},
 		"changed content": {func(u *Update) { u.Bundles[0].Delta.HandBack = true }, bundle.ErrDigest},
--- a/pkg/forward/cold_test.go
+++ b/pkg/forward/cold_test.go
@@ -19,7 +19,7 @@
 // coldGate rejects calls as the gate of a cold back end without free capacity does.
 func coldGate(remaining time.Duration) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		exchange.Report{Capacity: 4, Cold: exchange.Cold{Remaining: remaining, Room: remaining, Interval: 50 * time.Millisecond}}.Set(w.Header())
+		exchange.Report{Capacity: 4, Cold: exchange.Cold{Remaining: remaining, AdmissionDelay: remaining, AdmissionInterval: 50 * time.Millisecond}}.Set(w.Header())
 		rejectWith(exchange.ReasonCold, NotRun)(w, r)
 	}
 }
@@ -208,7 +208,7 @@
 	is.Equal(f.others.Load(), int64(0))
 	is.True(f.rejected.Load() > 0)
 	is.True(f.served.Load() >= 3*coldRate)
-	is.Equal(f.late.Load(), int64(0)) // the target is 200 ms, the timeout 400 ms
+	is.Equal(f.late.Load(), int64(0)) // no response later than lateAfter
 	for _, b := range f.backends {
 		is.True(!b.failed)
 		is.True(b.coldSeen >= coldRate/2) // every back end is used
--- a/pkg/forward/gate_choice.go
+++ b/pkg/forward/gate_choice.go
@@ -18,9 +18,9 @@
 	// maxFullGates is how many gates may report that they are full before a call is rejected while the
 	// link is busy.
 	maxFullGates = 3
-	// ownWaitDivisor divides the time left until the target latency to limit the wait at the node's own
+	// ownGateWaitDivisor divides the time left until the target latency to limit the wait at the node's own
 	// gate, so that the caller still has time to retry.
-	ownWaitDivisor = 4
+	ownGateWaitDivisor = 4
 	// scarceRatio is the share of attempts that gates reject above which a free slot is preferred to a
 	// fast back end.
 	scarceRatio = 0.1
@@ -37,8 +37,8 @@
 	maxLocalWaitRatio         = 0.9
 	localWaitRatioPerKilobyte = 0.1
 	baseKilobytes             = 2
-	// A call with a body larger than largeBodyBytes may wait in its own zone for localWaitRatioLarge of
-	// the time until the deadline, after localServiceTimesLarge service times are subtracted.
+	// For bodies larger than largeBodyBytes, localServiceTimesLarge service times are reserved;
+	// localWaitRatioLarge of the remaining time until the deadline may be spent waiting in the own zone.
 	largeBodyBytes         = 16 << 10
 	localServiceTimesLarge = 1.5
 	localWaitRatioLarge    = 0.8
@@ -48,11 +48,11 @@
 	reservedServiceTimes = 1.4
 	minWaitDivisor       = 10
 	// shortWorkDivisor divides the mean service time: calls shorter than that are exempt from the limit
-	// above, since they hardly delay other calls.
+	// by reservedServiceTimes, since they hardly delay other calls.
 	shortWorkDivisor = 3
-	// ownWorkDivisor divides the time left to limit the service time up to which the back end beside
-	// the node is preferred.
-	ownWorkDivisor = 2
+	// The back end beside the node is preferred if the service time is at most the time left divided by
+	// ownGateMaxServiceDivisor.
+	ownGateMaxServiceDivisor = 2
 	// bodyTimeDivisor divides the time left to limit the transfer time of a large body.
 	bodyTimeDivisor = 3
 )
@@ -72,11 +72,11 @@
 
 // gateRequest returns the part of the selection request that is independent of the link load.
 func (g *gatedCall) gateRequest(now time.Duration) balancer.GateRequest {
-	request := balancer.GateRequest{LeftOut: g.excluded, Regions: g.route.Regions, Patience: g.maxWait(now), Repeatable: g.repeatable, LargeAnswer: g.largeResponse()}
-	request.Spared = g.handler.regionDelays.congested(now, g.largeResponse() || g.body.Size() > largeBodyBytes)
+	request := balancer.GateRequest{Excluded: g.excluded, Regions: g.route.Regions, Patience: g.maxWait(now), Repeatable: g.repeatable, LargeResponse: g.largeResponse()}
+	request.AvoidedRegions = g.handler.regionDelays.congested(now, g.largeResponse() || g.body.Size() > largeBodyBytes)
 	request.Version = g.versionChoice(now)
 	if g.countedAttempts == 0 {
-		request.OwnWork = g.ownWork(now)
+		request.OwnGateMaxService = g.ownGateMaxService(now)
 	}
 	return request
 }
@@ -85,17 +85,17 @@
 func (g *gatedCall) chooseOnFreeLink(now time.Duration) (*balancer.Ticket, time.Duration, error) {
 	request := g.gateRequest(now)
 	if len(g.full) < maxFreeSlotAttempts && g.countedAttempts < maxGateAttempts {
-		request.LeftOut = slices.Concat(g.excluded, g.full)
+		request.Excluded = slices.Concat(g.excluded, g.full)
 		request.LocalWait = g.localWait(now)
-		request.AskLocal = g.body.Size() > largeBodyBytes
+		request.LocalGateDecides = g.body.Size() > largeBodyBytes
 		if g.largeResponse() {
-			request.OwnWait = min(request.Patience, max(0, g.targetLeft(now)/ownWaitDivisor))
+			request.OwnGateWait = min(request.Patience, max(0, g.targetLeft(now)/ownGateWaitDivisor))
 		}
 		ticket, wait, err := g.service.pool.AcquireGate(now, request)
 		if err == nil || len(g.full) == 0 {
 			return ticket, wait, err
 		}
-		request.LeftOut, request.LocalWait, request.AskLocal = g.excluded, 0, false
+		request.Excluded, request.LocalWait, request.LocalGateDecides = g.excluded, 0, false
 	}
 	ticket, _, err := g.service.pool.AcquireGate(now, request)
 	g.finalWait = true
@@ -109,14 +109,14 @@
 		return nil, 0, errGatesFull
 	}
 	request := g.gateRequest(now)
-	request.LeftOut = slices.Concat(g.excluded, g.full)
-	request.OwnWait = g.ownWait(now, request.Patience)
-	request.AskLocal = g.body.Size() > largeBodyBytes
+	request.Excluded = slices.Concat(g.excluded, g.full)
+	request.OwnGateWait = g.ownGateWait(now, request.Patience)
+	request.LocalGateDecides = g.body.Size() > largeBodyBytes
 	if len(g.full) == 0 {
 		request.LocalWait = g.localWait(now)
 	}
 	if g.throttle.NotGranted(now) > scarceRatio {
-		request.FreeWork = time.Duration(float64(g.targetLeft(now)) / freeSlotServiceTimes)
+		request.FreeSlotMaxService = time.Duration(float64(g.targetLeft(now)) / freeSlotServiceTimes)
 	}
 	ticket, wait, err := g.service.pool.AcquireGate(now, request)
 	if err != nil && len(g.full) > 0 {
@@ -128,17 +128,17 @@
 	return ticket, wait, err
 }
 
-// ownWait returns how long the call may wait at the node's own gate before others are attempted.
+// ownGateWait returns how long the call may wait at the node's own gate before others are attempted.
 // An attempt there sends no message over the link.
-func (g *gatedCall) ownWait(now, maxWait time.Duration) time.Duration {
+func (g *gatedCall) ownGateWait(now, maxWait time.Duration) time.Duration {
 	if g.body.Size() > largeBodyBytes || g.largeResponse() || g.route.TargetLatency == 0 {
 		return maxWait
 	}
-	return min(maxWait, max(0, g.targetLeft(now)/ownWaitDivisor))
+	return min(maxWait, max(0, g.targetLeft(now)/ownGateWaitDivisor))
 }
 
 // largeResponse reports whether a large response is expected.
-func (g *gatedCall) largeResponse() bool { return g.responseBytes >= exchange.LargeAnswer }
+func (g *gatedCall) largeResponse() bool { return g.responseBytes >= exchange.LargeResponse }
 
 // targetLeft returns what is left of the target latency since the caller's first attempt, negative
 // if it has passed.
@@ -163,20 +163,20 @@
 	return max(0, time.Duration(share*float64(g.targetLeft(now)-reserved)))
 }
 
-// ownWork returns the service time up to which the back end beside the node is preferred.
-func (g *gatedCall) ownWork(now time.Duration) time.Duration {
+// ownGateMaxService returns the service time up to which the back end beside the node is preferred.
+func (g *gatedCall) ownGateMaxService(now time.Duration) time.Duration {
 	left := g.deadline - now
 	if g.route.TargetLatency > 0 {
 		left = min(left, g.targetLeft(now))
 	}
-	return left / ownWorkDivisor
+	return left / ownGateMaxServiceDivisor
 }
 
 // maxWait returns how long the call may wait at a gate.
 func (g *gatedCall) maxWait(now time.Duration) time.Duration {
 	left := g.deadline - now
 	allowed := left / 2
-	if target := g.route.TargetLatency; target > 0 && g.serviceTime*shortWorkDivisor > g.service.pool.MeanService() {
+	if target := g.route.TargetLatency; target > 0 && g.serviceTime*shortWorkDivisor > g.service.pool.MeanServiceTime() {
 		reserved := time.Duration(reservedServiceTimes * float64(g.serviceTime))
 		allowed = min(allowed, max(g.targetLeft(now)-reserved, target/minWaitDivisor))
 	}
--- a/pkg/forward/gate_exchange.go
+++ b/pkg/forward/gate_exchange.go
@@ -95,7 +95,7 @@
 func (g *gatedCall) readGateResponse(ticket *balancer.Ticket, response *http.Response) (*http.Response, *gateFailure) {
 	report, reported := exchange.ReadReport(response.Header)
 	if reported {
-		ticket.ReportGate(g.now(), report)
+		ticket.UpdateGateReport(g.now(), report)
 	}
 	if outcome := response.Header.Get(exchange.HeaderOutcome); outcome != "" {
 		response.Body.Close()
@@ -107,9 +107,9 @@
 	name := g.handler.config.Headers.RequestID
 	if name != "" && response.Header.Get(name) != g.request.Header.Get(name) {
 		response.Body.Close()
-		return nil, &gateFailure{reason: exchange.ReasonBroken, outcome: Unknown, peer: ticket.Address, err: exchange.ErrWrongAnswer}
+		return nil, &gateFailure{reason: exchange.ReasonBroken, outcome: Unknown, peer: ticket.Address, err: exchange.ErrResponseMismatch}
 	}
-	data, rest, release, err := g.handler.config.AnswerBuffer.ReadWhole(response)
+	data, rest, release, err := g.handler.config.ResponseBuffer.ReadWhole(response)
 	if err != nil {
 		response.Body.Close()
 		return nil, &gateFailure{reason: exchange.ReasonBroken, outcome: Unknown, peer: ticket.Address, err: err}
@@ -141,11 +141,11 @@
 	}
 	if target := g.route.TargetLatency; target > 0 {
 		exchange.SetMillis(request.Header, exchange.HeaderTarget, g.targetLeft(g.now()))
-		exchange.SetMillis(request.Header, exchange.HeaderEarly, target/earlyDivisor-(g.now()-g.firstAttemptAt))
+		exchange.SetMillis(request.Header, exchange.HeaderEarlyRefusal, target/earlyDivisor-(g.now()-g.firstAttemptAt))
 	}
 	request.Header.Set(exchange.HeaderExpectedWork, strconv.FormatInt(g.serviceTime.Microseconds(), 10))
 	if g.largeResponse() {
-		request.Header.Set(exchange.HeaderExpectedAnswer, strconv.Itoa(g.responseBytes))
+		request.Header.Set(exchange.HeaderExpectedResponse, strconv.Itoa(g.responseBytes))
 	}
 	if g.attempts > 0 {
 		request.Header.Set(exchange.HeaderRetry, "1")
@@ -170,8 +170,8 @@
 // senderReport returns the load report of the back end beside the node that is sent with the call,
 // empty for none. It is sent only while the link is busy.
 func (g *gatedCall) senderReport(ticket *balancer.Ticket) string {
-	if g.handler.config.Sender == nil || !g.linkBusy || g.isOwnGate(ticket) {
+	if g.handler.config.SenderReport == nil || !g.linkBusy || g.isOwnGate(ticket) {
 		return ""
 	}
-	return g.handler.config.Sender()
+	return g.handler.config.SenderReport()
 }
--- a/pkg/forward/gated.go
+++ b/pkg/forward/gated.go
@@ -125,7 +125,7 @@
 	g.recordFailure(ticket, failure)
 	if failure.reason.Reached() {
 		g.attempts++
-		g.record.Note(failure.outcome)
+		g.outcomes.Note(failure.outcome)
 	}
 	again = g.mayAttemptNext(ctx, failure)
 	g.reportAttempt(ticket, failure, wait, now, again)
@@ -155,7 +155,7 @@
 	case failure == nil || failure.reason.Reached():
 		g.throttle.Granted(g.now())
 	case !failure.reason.Busy():
-		g.throttle.Withdrawn(g.now())
+		g.throttle.Cancelled(g.now())
 	}
 }
 
@@ -176,30 +176,30 @@
 		if failure.rejected {
 			pause = downPause
 		}
-		ticket.Avoid(now, pause)
+		ticket.Eject(now, pause)
 	case exchange.ReasonStopping:
-		ticket.Avoid(now, stoppingPause)
-	case exchange.ReasonLeft:
-		ticket.Leave()
-	case exchange.ReasonAbsent:
-		ticket.Avoid(now, absentPause)
+		ticket.Eject(now, stoppingPause)
+	case exchange.ReasonRemoved:
+		ticket.MarkLeaving()
+	case exchange.ReasonNoBackend:
+		ticket.Eject(now, absentPause)
 	case exchange.ReasonVersion:
-		ticket.Avoid(now, versionPause)
+		ticket.Eject(now, versionPause)
 	case exchange.ReasonEvacuated:
-		ticket.Avoid(now, evacuatedPause)
+		ticket.Eject(now, evacuatedPause)
 		// Not counted as an attempt: the node is out of date, and all gates of the zone may respond alike.
 		g.countedAttempts--
 	case exchange.ReasonRegion:
 		// Not counted as an attempt either, but the gate may serve other calls.
 		g.countedAttempts--
-	case exchange.ReasonBroken, exchange.ReasonEnded:
+	case exchange.ReasonBroken, exchange.ReasonCrashed:
 		if g.request.Context().Err() == nil && now < g.deadline {
 			g.recordVersionResult(ticket, true)
 			outcome = balancer.Failed
 		}
 	}
 	if !failure.reason.Busy() {
-		g.excluded = ticket.LeftOut(g.excluded)
+		g.excluded = ticket.AppendExcluded(g.excluded)
 	}
 	g.draw.retrying = true
 	ticket.Done(now, outcome)
@@ -215,7 +215,7 @@
 	}
 	// The first attempt at the own gate allowed a short wait only, so the call may still wait there.
 	if g.countedAttempts > 1 || !g.isOwnGate(ticket) {
-		g.full = ticket.LeftOut(g.full)
+		g.full = ticket.AppendExcluded(g.full)
 	}
 }
 
@@ -296,10 +296,10 @@
 		return false
 	}
 	g.closeHeldResponse()
-	g.record.Note(Unknown)
+	g.outcomes.Note(Unknown)
 	g.heldResponse = response
 	g.draw.retrying = true
-	g.excluded = ticket.LeftOut(g.excluded)
+	g.excluded = ticket.AppendExcluded(g.excluded)
 	ticket.Done(g.now(), balancer.Answered)
 	return true
 }
@@ -333,7 +333,7 @@
 		}
 		return nil
 	}
-	refusal := &Refusal{Outcome: g.record.Refusal(), Step: step, Reason: reason, Status: http.StatusServiceUnavailable, Fractions: true}
+	refusal := &Refusal{Outcome: g.outcomes.Refusal(), Step: step, Reason: reason, Status: http.StatusServiceUnavailable, Fractions: true}
 	left := g.deadline - g.now()
 	if refusal.Outcome != NotRun {
 		refusal.Status = http.StatusBadGateway
--- a/pkg/forward/quarantine.go
+++ b/pkg/forward/quarantine.go
@@ -21,7 +21,7 @@
 
 // matchQuarantine looks the call up in the watchlist, with the buffered part of its body.
 func (c *call) matchQuarantine(body []byte) quarantine.Match {
-	return c.handler.config.Quarantine.Look(c.request, body, c.callerAndService())
+	return c.handler.config.Quarantine.Lookup(c.request, body, c.callerAndService())
 }
 
 // callerAndService returns the pair for which responses to a suspect are tracked.
@@ -32,22 +32,22 @@
 // reportCrash reports a crash of a back end without a gate during the call. Restarts within one
 // incarnation count once.
 func (c *call) reportCrash(ctx context.Context, ticket *balancer.Ticket, cause error) {
-	if c.handler.config.OnEnded == nil || !exchange.BackendEnded(ctx, ticket.Address, cause, crashCheckTimeout) {
+	if c.handler.config.OnCrash == nil || !exchange.BackendCrashed(ctx, ticket.Address, cause, crashCheckTimeout) {
 		return
 	}
-	c.handler.config.OnEnded(quarantine.End{
-		Request: quarantine.Of(c.request, c.body.data), Instance: fmt.Sprintf("%s/%d", ticket.ID, ticket.Incarnation), Way: c.callerAndService(),
+	c.handler.config.OnCrash(quarantine.End{
+		Request: quarantine.FingerprintOf(c.request, c.body.data), Instance: fmt.Sprintf("%s/%d", ticket.ID, ticket.Incarnation), Way: c.callerAndService(),
 		Watched: c.watched,
 	})
 }
 
 // reportSurvival reports that a back end without a gate responded to a suspect request.
 func (c *call) reportSurvival(status int) {
-	if c.handler.config.OnAnswered == nil || !exchange.Outlived(status) {
+	if c.handler.config.OnSuspectResponse == nil || !exchange.ProvesCompletion(status) {
 		return
 	}
 	if match := c.matchQuarantine(c.body.data); match.Standing != quarantine.Unsuspected && !match.Answered {
-		c.handler.config.OnAnswered(quarantine.Answer{Request: match.Request, Way: c.callerAndService()})
+		c.handler.config.OnSuspectResponse(quarantine.Answer{Request: match.Request, Way: c.callerAndService()})
 	}
 }
 
--- a/pkg/forward/quarantine_test.go
+++ b/pkg/forward/quarantine_test.go
@@ -22,7 +22,7 @@
 	request := httptest.NewRequest(http.MethodPost, "http://shop.example:80"+path, nil)
 	filter := &quarantine.Filter{}
 	filter.Set(&quarantine.Watchlist{Entries: []quarantine.Entry{
-		{Request: quarantine.Of(request, []byte("fatal")), Quarantined: quarantined, Answered: answered},
+		{Request: quarantine.FingerprintOf(request, []byte("fatal")), Quarantined: quarantined, Answered: answered},
 	}})
 	return filter
 }
@@ -59,7 +59,7 @@
 // Guards against retrying a suspect request, which might crash another back end.
 func TestSuspectRequestIsNotRetried(t *testing.T) {
 	is := is.New(t)
-	crashing := rejectWith(exchange.ReasonEnded, Unknown)
+	crashing := rejectWith(exchange.ReasonCrashed, Unknown)
 	first, firstCalls := fakeGate(t, crashing)
 	second, secondCalls := fakeGate(t, crashing)
 	n := newGatedNodeWith(t, func(cfg *Config) {
@@ -114,13 +114,13 @@
 		started := time.Now()
 		handler := New(Config{
 			Node: "n", Service: "shop", Now: func() time.Duration { return time.Since(started) }, Quarantine: filter,
-			Retry: retry.Config{Max: 10}, Declines: retry.Config{Max: 10},
-			OnEnded: func(crash quarantine.End) {
+			Retry: retry.Config{Max: 10}, DeclinedRetries: retry.Config{Max: 10},
+			OnCrash: func(crash quarantine.End) {
 				mu.Lock()
 				defer mu.Unlock()
 				crashes = append(crashes, crash)
 			},
-			OnAnswered: func(answer quarantine.Answer) { responses = append(responses, answer) },
+			OnSuspectResponse: func(answer quarantine.Answer) { responses = append(responses, answer) },
 		})
 		handler.SetTable(newTable(addresses...))
 		server := httptest.NewServer(handler)
@@ -140,7 +140,7 @@
 
 	watchlist := func(server *httptest.Server, quarantined bool) *quarantine.Watchlist {
 		call := httptest.NewRequest(http.MethodGet, server.URL+"/x", nil)
-		return &quarantine.Watchlist{Entries: []quarantine.Entry{{Request: quarantine.Of(call, nil), Quarantined: quarantined}}}
+		return &quarantine.Watchlist{Entries: []quarantine.Entry{{Request: quarantine.FingerprintOf(call, nil), Quarantined: quarantined}}}
 	}
 	server = serve(crashingBackend(t), crashingBackend(t))
 	filter.Set(watchlist(server, false))
--- a/pkg/forward/region_delays.go
+++ b/pkg/forward/region_delays.go
@@ -21,15 +21,15 @@
 // know their capacity, so each one judges by the delay of its own calls.
 type regionDelays struct {
 	// onChange, if set, is called when the congestion of a link changes.
-	onChange func(region string, now link.Crowding, rise time.Duration)
+	onChange func(region string, now link.Congestion, rise time.Duration)
 
 	mu       sync.Mutex
 	delays   map[string]*link.Delay
-	reported map[string]link.Crowding
+	reported map[string]link.Congestion
 }
 
-func newRegionDelays(onChange func(string, link.Crowding, time.Duration)) *regionDelays {
-	return &regionDelays{onChange: onChange, delays: map[string]*link.Delay{}, reported: map[string]link.Crowding{}}
+func newRegionDelays(onChange func(string, link.Congestion, time.Duration)) *regionDelays {
+	return &regionDelays{onChange: onChange, delays: map[string]*link.Delay{}, reported: map[string]link.Congestion{}}
 }
 
 // record adds the network round-trip time of a call to a region.
@@ -40,13 +40,13 @@
 		delay = &link.Delay{}
 		d.delays[region] = delay
 	}
-	delay.Note(now, took)
-	crowding := delay.Crowding(now)
-	changed := crowding != d.reported[region]
-	d.reported[region] = crowding
+	delay.Observe(now, took)
+	congestion := delay.Congestion(now)
+	changed := congestion != d.reported[region]
+	d.reported[region] = congestion
 	d.mu.Unlock()
 	if changed && d.onChange != nil {
-		d.onChange(region, crowding, delay.Rise(now))
+		d.onChange(region, congestion, delay.QueueingDelay(now))
 	}
 }
 
@@ -57,11 +57,11 @@
 	defer d.mu.Unlock()
 	least := link.Full
 	if large {
-		least = link.Crowded
+		least = link.Congested
 	}
 	var congested []string
 	for region, delay := range d.delays {
-		if delay.Crowding(now) >= least {
+		if delay.Congestion(now) >= least {
 			congested = append(congested, region)
 		}
 	}
@@ -71,15 +71,15 @@
 // requestHeldTime asks a gate of another region to report how long it held the call. Calls with a large
 // body are left out, because their own transfer dominates the delay.
 func (g *gatedCall) requestHeldTime(ticket *balancer.Ticket, request *http.Request) {
-	if ticket.FarRegion() != "" && g.body.Size() <= largeBodyBytes {
-		request.Header.Set(exchange.HeaderTellHeld, "1")
+	if ticket.OtherRegion() != "" && g.body.Size() <= largeBodyBytes {
+		request.Header.Set(exchange.HeaderRequestHeld, "1")
 	}
 }
 
 // recordRegionDelay records the network delay of a call to another region.
 func (g *gatedCall) recordRegionDelay(ticket *balancer.Ticket, sent time.Duration, header http.Header) {
 	held, reported := exchange.ReadMicros(header, exchange.HeaderHeld)
-	if region := ticket.FarRegion(); reported && region != "" {
+	if region := ticket.OtherRegion(); reported && region != "" {
 		now := g.now()
 		g.handler.regionDelays.record(region, now, max(0, now-sent-held))
 	}
--- a/pkg/forward/region_delays_test.go
+++ b/pkg/forward/region_delays_test.go
@@ -22,7 +22,7 @@
 	endpoint := func(id, gate, zone string) distribution.Endpoint {
 		return distribution.Endpoint{Service: "s", ID: id, Incarnation: 1, Address: "10.0.0.1:1", Gate: gate, Zone: zone, Capacity: 4}
 	}
-	return routing.Next(nil, &distribution.State{
+	return routing.Update(nil, &distribution.State{
 		Active: &bundle.Signed{Manifest: bundle.Manifest{Version: version}, Content: bundle.Content{
 			Services: []bundle.Service{{Name: "s"}},
 			Routes: []bundle.Route{{Name: "r", Host: "shop.example", PathPrefix: "/r/", Service: "s", Kind: bundle.KindSafe, MaxAttempts: 3,
@@ -101,15 +101,15 @@
 		wait := delay
 		mu.Unlock()
 		time.Sleep(wait)
-		if r.Header.Get(exchange.HeaderTellHeld) != "" {
+		if r.Header.Get(exchange.HeaderRequestHeld) != "" {
 			w.Header().Set(exchange.HeaderHeld, "0")
 		}
 		respondOK(w, r)
 	})
 	east, _ := fakeGate(t, rejectWith(exchange.ReasonFull, NotRun))
-	var reported []link.Crowding
+	var reported []link.Congestion
 	n, _ := regionNode(t, regionTable(1, east, west), func(cfg *Config) {
-		cfg.OnCrowding = func(_ string, crowding link.Crowding, _ time.Duration) { reported = append(reported, crowding) }
+		cfg.OnCongestion = func(_ string, congestion link.Congestion, _ time.Duration) { reported = append(reported, congestion) }
 	})
 	is.Equal(n.call(t, http.MethodGet, "/r/1", "").StatusCode, http.StatusOK)
 	mu.Lock()
--- a/pkg/gate/gate.go
+++ b/pkg/gate/gate.go
@@ -49,18 +49,18 @@
 	// Link measures the traffic on the machine's link and knows its capacity; nil means an
 	// unlimited link.
 	Link *link.Meter
-	// Answers paces large responses.
-	Answers *exchange.Pacer
-	// AnswerBuffer limits the memory for buffered large responses.
-	AnswerBuffer *exchange.AnswerBuffer
+	// ResponsePacer paces large responses.
+	ResponsePacer *exchange.Pacer
+	// ResponseBuffer limits the memory for buffered large responses.
+	ResponseBuffer *exchange.ResponseBuffer
 	// Quarantine matches requests that must not reach the back end; nil matches none.
 	Quarantine *quarantine.Filter
-	// OnEnded is called when the back end crashes during a call, OnAnswered when it responds to a
+	// OnCrash is called when the back end crashes during a call, OnSuspectResponse when it responds to a
 	// watched request.
-	OnEnded    func(quarantine.End)
-	OnAnswered func(quarantine.Answer)
-	// ServedHere reports whether the back end's region may serve a call; nil allows all.
-	ServedHere func(*http.Request) bool
+	OnCrash           func(quarantine.End)
+	OnSuspectResponse func(quarantine.Answer)
+	// RegionServes reports whether the back end's region may serve a call; nil allows all.
+	RegionServes func(*http.Request) bool
 	// OnSender is called with the load of the back end beside a call's sender, and with that back
 	// end's service.
 	OnSender func(service string, sender exchange.Sender)
@@ -71,10 +71,10 @@
 	// OnClosing is called when orders close the gate, when its running calls have finished and when
 	// it opens again. It is called with the gate locked and must not call the gate.
 	OnClosing func(ClosingChange)
-	// OnCold is called with the gate locked when the back end turns cold or warm, OnColdUnknown
+	// OnCold is called with the gate locked when the back end turns cold or warm, OnColdProbeFailed
 	// when a probe of its health path failed.
-	OnCold        func(ColdChange)
-	OnColdUnknown func(backend string, err error)
+	OnCold            func(ColdChange)
+	OnColdProbeFailed func(backend string, err error)
 }
 
 // Call describes a finished call for logs and metrics.
@@ -84,13 +84,13 @@
 	Reason exchange.Reason
 	Err    error
 	Status int
-	// OnItsWay is how much longer the call took to arrive than the fastest recent call of its
+	// TransitDelay is how much longer the call took to arrive than the fastest recent call of its
 	// sender.
-	OnItsWay time.Duration
-	Waited   time.Duration
-	Service  time.Duration
-	Report   exchange.Report
-	Backend  string
+	TransitDelay time.Duration
+	Waited       time.Duration
+	Service      time.Duration
+	Report       exchange.Report
+	Backend      string
 	// Fingerprint identifies a quarantined request, or one whose back end crashed.
 	Fingerprint quarantine.Fingerprint
 	// Watched is set if the request was a known suspect when the call was admitted.
@@ -143,8 +143,8 @@
 func New(config Config) *Gate {
 	dialer := net.Dialer{Timeout: dialTimeout, Control: wire.SetUserTimeout}
 	capacity := config.Link.Capacity()
-	return &Gate{config: config, inbound: newLinkScheduler(capacity, inboundShare, inboundUsable, config.Link.UnaskedRate),
-		outbound: newLinkScheduler(capacity, outboundShare, outboundUsable, config.Link.UnbookedRate), transport: &http.Transport{
+	return &Gate{config: config, inbound: newLinkScheduler(capacity, inboundShare, inboundUsableShare, config.Link.UnscheduledRate),
+		outbound: newLinkScheduler(capacity, outboundShare, outboundUsable, config.Link.UnreservedRate), transport: &http.Transport{
 			DialContext: exchange.CountWrites(dialer.DialContext), DisableCompression: true,
 			MaxIdleConnsPerHost: maxIdleConnections, IdleConnTimeout: idleTimeout,
 			ReadBufferSize: connBufferBytes, WriteBufferSize: connBufferBytes,
@@ -170,7 +170,7 @@
 
 // serve handles a call from another node.
 func (g *Gate) serve(r *http.Request) *http.Response {
-	if !g.servedHere(r) {
+	if !g.regionServes(r) {
 		call := Call{RequestID: r.Header.Get(g.config.Headers.RequestID), Reason: exchange.ReasonRegion}
 		return g.reject(&call, http.StatusServiceUnavailable, exchange.NotRun)
 	}
@@ -192,7 +192,7 @@
 func (g *Gate) receiveBodyFirst(r *http.Request) *http.Response {
 	arrived := g.config.Now()
 	req := g.readArrival(r.Header, arrived)
-	call := Call{RequestID: r.Header.Get(g.config.Headers.RequestID), OnItsWay: req.transitDelay, Reason: g.startReceiving(req)}
+	call := Call{RequestID: r.Header.Get(g.config.Headers.RequestID), TransitDelay: req.transitDelay, Reason: g.startReceiving(req)}
 	if call.Reason != "" {
 		return g.reject(&call, http.StatusServiceUnavailable, exchange.NotRun)
 	}
@@ -209,7 +209,7 @@
 		call.Reason, call.Err = exchange.ReasonBroken, err
 		return g.reject(&call, http.StatusBadGateway, exchange.NotRun)
 	}
-	g.config.Link.BodyReceived(r.ContentLength)
+	g.config.Link.ScheduledBodyReceived(r.ContentLength)
 	// The body is already here: waiting for a slot is cheaper than sending it to another back end.
 	req.wait = max(req.wait, (req.deadline-g.config.Now())/receivedWaitDivisor)
 	req.earlyWait = max(req.earlyWait, req.wait)
@@ -254,7 +254,7 @@
 // admitAndSend waits for a slot and forwards the call, or returns a rejection. It rejects the call
 // if its large response could not be sent in time.
 func (g *Gate) admitAndSend(r *http.Request, req request, attach attachBody) *http.Response {
-	call := Call{RequestID: r.Header.Get(g.config.Headers.RequestID), OnItsWay: req.transitDelay}
+	call := Call{RequestID: r.Header.Get(g.config.Headers.RequestID), TransitDelay: req.transitDelay}
 	reserved, inTime := g.reserveResponse(req)
 	if !inTime {
 		call.Reason = exchange.ReasonLink
@@ -285,12 +285,12 @@
 	}
 	req.wait, _ = exchange.ReadMillis(header, exchange.HeaderWait)
 	req.earlyWait = req.wait
-	if early, set := exchange.ReadMillis(header, exchange.HeaderEarly); set {
+	if early, set := exchange.ReadMillis(header, exchange.HeaderEarlyRefusal); set {
 		req.earlyWait = early
 	}
 	req.work, _ = exchange.ReadMicros(header, exchange.HeaderExpectedWork)
 	req.targetLeft, req.targeted = exchange.ReadMillis(header, exchange.HeaderTarget)
-	if size, err := strconv.ParseInt(header.Get(exchange.HeaderExpectedAnswer), 10, 64); err == nil && size > 0 {
+	if size, err := strconv.ParseInt(header.Get(exchange.HeaderExpectedResponse), 10, 64); err == nil && size > 0 {
 		req.expectedResponse = size
 	}
 	req.hint.target = header.Get(exchange.HeaderRollout)
@@ -316,7 +316,7 @@
 		call.Reason, call.Err = exchange.ReasonBroken, err
 		return g.reject(call, http.StatusBadGateway, exchange.NotRun)
 	}
-	if !g.servedHere(r) {
+	if !g.regionServes(r) {
 		cancel()
 		g.release(adm, callResult{})
 		call.Reason = exchange.ReasonRegion
@@ -345,7 +345,7 @@
 	call.Service = g.config.Now() - adm.admittedAt
 	if err != nil {
 		cancel()
-		if delivery.MayHaveArrived() && r.Context().Err() == nil && exchange.BackendEnded(r.Context(), adm.backend.Address, err, crashCheckTimeout) {
+		if delivery.MayHaveArrived() && r.Context().Err() == nil && exchange.BackendCrashed(r.Context(), adm.backend.Address, err, crashCheckTimeout) {
 			g.reportCrash(r, body, adm, call)
 		}
 		return g.failed(call, adm, delivery.MayHaveArrived(), r.Context(), req.deadline, err)
@@ -415,7 +415,7 @@
 		return nil
 	}
 	response.Body.Close()
-	return exchange.ErrWrongAnswer
+	return exchange.ErrResponseMismatch
 }
 
 // declined reports whether the back end states that it has not started the call.
--- a/pkg/gate/outbound.go
+++ b/pkg/gate/outbound.go
@@ -15,7 +15,7 @@
 	// is not delayed.
 	outboundShare = 0.85
 	// outboundUsable is the share of the link's rate that all outbound traffic may use. It exceeds
-	// inboundUsable, since the node paces what it sends.
+	// inboundUsableShare, since the node paces what it sends.
 	outboundUsable = 0.95
 	// minReportedLinkWait is the shortest link wait that load reports mention, about the transfer
 	// time of one large response.
@@ -63,7 +63,7 @@
 	switch {
 	case method == http.MethodHead || response.Header.Get(exchange.HeaderOutcome) != "":
 		g.outbound.adjust(now, -reserved)
-	case size >= exchange.LargeAnswer:
+	case size >= exchange.LargeResponse:
 		// The transfer ends at the call's deadline at the latest.
 		duration := min(g.outbound.duration(now, size), max(0, req.deadline-now))
 		until := g.outbound.adjust(now, duration-reserved)
@@ -116,11 +116,11 @@
 // paceResponse paces a large response to another node; held is how long the call has been at the
 // gate.
 func (g *Gate) paceResponse(r *http.Request, response *http.Response, held time.Duration) {
-	if response.ContentLength < exchange.LargeAnswer {
+	if response.ContentLength < exchange.LargeResponse {
 		return
 	}
-	paced := g.config.Answers.Answer(response.Body, int(response.ContentLength), g.transferTime(r, held))
-	response.Body = g.config.Link.Answer(paced, true)
+	paced := g.config.ResponsePacer.WrapResponse(response.Body, int(response.ContentLength), g.transferTime(r, held))
+	response.Body = g.config.Link.WrapResponse(paced, true)
 }
 
 // transferTime returns how long the transfer of a large response to another node may take.
--- a/pkg/gate/transit_test.go
+++ b/pkg/gate/transit_test.go
@@ -35,7 +35,7 @@
 	is.Equal(len(tracker.processes), 1)                // processes without calls are discarded
 	is.Equal(delay(1, 200_000*ms, 219_900*ms), 0*ms)   // the minimum is discarded after two windows without calls
 	is.Equal(delay(1, 200_100*ms, 220_100*ms), 0*ms)   // a faster call
-	is.Equal(delay(1, 200_200*ms, 220_100*ms), 100*ms) // is the new minimum
+	is.Equal(delay(1, 200_200*ms, 220_100*ms), 100*ms) // a call measured against the faster one
 }
 
 // A call that expired in transit must not reach the back end, and must be reported as not run.
@@ -78,7 +78,7 @@
 	g := newGateFor(backend.Listener.Addr().String(), 2)
 	started := time.Now()
 	g.config.Now = func() time.Duration { return time.Minute + time.Since(started) }
-	g.config.Answers = exchange.NewPacer(1e9, 0.9, g.config.Now)
+	g.config.ResponsePacer = exchange.NewPacer(1e9, 0.9, g.config.Now)
 	for _, id := range []string{"first", "second"} {
 		sent := exchange.Sent{Process: 7, At: g.config.Now()}
 		w := httptest.NewRecorder()
--- a/pkg/link/meter.go
+++ b/pkg/link/meter.go
@@ -51,8 +51,9 @@
 	// had reserved the link.
 	largeResponses, reserved atomic.Int64
 
-	mu                                        sync.Mutex
-	in, out, unscheduled, unreserved, unpaced rate
+	mu sync.Mutex
+	// unscheduledIn is the rate of UnaskedRate, unreservedOut that of UnbookedRate, unpacedOut that of UnpacedRate.
+	in, out, unscheduledIn, unreservedOut, unpacedOut rate
 }
 
 // NewMeter returns a meter for a link with a capacity of bitsPerSecond in each direction, zero if unknown.
@@ -72,28 +73,28 @@
 // Sent returns the bytes sent to a kind of peer.
 func (m *Meter) Sent(p Peer) int64 { return m.sent[p].Load() }
 
-// BodyReceived records that size of the received bytes were a large request body whose transfer the node's gate
-// scheduled.
-func (m *Meter) BodyReceived(size int64) {
+// ScheduledBodyReceived records that size of the received bytes were a large request body whose transfer the
+// node's gate scheduled.
+func (m *Meter) ScheduledBodyReceived(size int64) {
 	if m != nil {
 		m.scheduledBodies.Add(size)
 	}
 }
 
-// UnaskedRate returns the receive rate in bytes per second without large request bodies whose transfer the
+// UnscheduledRate returns the receive rate in bytes per second without large request bodies whose transfer the
 // node's gate scheduled. The current time now is on the process's monotonic clock.
-func (m *Meter) UnaskedRate(now time.Duration) float64 {
+func (m *Meter) UnscheduledRate(now time.Duration) float64 {
 	if m == nil {
 		return 0
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.unscheduled.sample(now, sum(&m.received)-m.scheduledBodies.Load())
+	return m.unscheduledIn.sample(now, sum(&m.received)-m.scheduledBodies.Load())
 }
 
-// Answer wraps the body of a large response to count its bytes as they are sent; reserved is set if the node's
+// WrapResponse wraps the body of a large response to count its bytes as they are sent; reserved is set if the node's
 // gate has reserved the link for it.
-func (m *Meter) Answer(body io.ReadCloser, reserved bool) io.ReadCloser {
+func (m *Meter) WrapResponse(body io.ReadCloser, reserved bool) io.ReadCloser {
 	if m == nil {
 		return body
 	}
@@ -122,21 +123,22 @@
 	return n, err
 }
 
-// AnswersSent returns the number of bytes of large responses sent.
-func (m *Meter) AnswersSent() int64 { return m.largeResponses.Load() }
+// LargeResponseBytesSent returns the number of bytes of large responses sent.
+func (m *Meter) LargeResponseBytesSent() int64 { return m.largeResponses.Load() }
 
-// BodiesReceived returns the bytes received of large request bodies whose transfer the node's gate scheduled.
-func (m *Meter) BodiesReceived() int64 { return m.scheduledBodies.Load() }
+// ScheduledBodyBytesReceived returns the bytes received of large request bodies whose transfer the node's gate
+// scheduled.
+func (m *Meter) ScheduledBodyBytesReceived() int64 { return m.scheduledBodies.Load() }
 
-// UnbookedRate returns the send rate in bytes per second without large responses for which the gate reserved
+// UnreservedRate returns the send rate in bytes per second without large responses for which the gate reserved
 // the link. The current time now is on the process's monotonic clock.
-func (m *Meter) UnbookedRate(now time.Duration) float64 {
+func (m *Meter) UnreservedRate(now time.Duration) float64 {
 	if m == nil {
 		return 0
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.unreserved.sample(now, sum(&m.sent)-m.reserved.Load())
+	return m.unreservedOut.sample(now, sum(&m.sent)-m.reserved.Load())
 }
 
 // UnpacedRate returns the send rate in bytes per second without large responses, which are paced. The current
@@ -147,7 +149,7 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.unpaced.sample(now, sum(&m.sent)-m.largeResponses.Load())
+	return m.unpacedOut.sample(now, sum(&m.sent)-m.largeResponses.Load())
 }
 
 // Load returns the utilization of the link in its busier direction, as a fraction of its capacity; zero if the
@@ -184,7 +186,7 @@
 		return r.perSecond
 	}
 	measured := max(0, float64(count-r.count)/elapsed.Seconds())
-	r.perSecond += (1 - clock.Kept(elapsed, rateHalfLife)) * (measured - r.perSecond)
+	r.perSecond += (1 - clock.DecayFactor(elapsed, rateHalfLife)) * (measured - r.perSecond)
 	r.sampledAt, r.count = now, count
 	return r.perSecond
 }
@@ -202,11 +204,11 @@
 	return &countedListener{Listener: l, meter: m, peer: p}
 }
 
-// Dial opens a connection; it has the type of http.Transport.DialContext.
-type Dial func(ctx context.Context, network, address string) (net.Conn, error)
+// DialFunc opens a connection; it has the type of http.Transport.DialContext.
+type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
 // Dialer wraps dial to count the bytes of the connections that it opens.
-func (m *Meter) Dialer(p Peer, dial Dial) Dial {
+func (m *Meter) Dialer(p Peer, dial DialFunc) DialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
 		if err != nil {
--- a/pkg/proxy/gate.go
+++ b/pkg/proxy/gate.go
@@ -25,19 +25,19 @@
 	}
 	s.gate = gate.New(gate.Config{
 		Headers: s.settings.Headers, Now: s.clock.Elapsed, OnCall: s.observer.gateCall,
-		ServedHere: func(r *http.Request) bool { return s.forwarder.ServedIn(s.settings.Zone, r) },
-		Link:       s.link, Answers: s.responsePacer, AnswerBuffer: s.responseBuffer,
-		Quarantine: &s.quarantine, OnEnded: s.onCrash, OnAnswered: s.onWatchedResponse,
+		RegionServes: func(r *http.Request) bool { return s.forwarder.ServedIn(s.settings.Zone, r) },
+		Link:         s.link, ResponsePacer: s.responsePacer, ResponseBuffer: s.responseBuffer,
+		Quarantine: &s.quarantine, OnCrash: s.onCrash, OnSuspectResponse: s.onWatchedResponse,
 		OnClosing: s.onClosingChange,
-		OnSender:  func(service string, sender exchange.Sender) { s.forwarder.HearOf(service, sender) },
-		OnCold:    s.observer.logColdChange, OnColdUnknown: s.observer.logColdUnknown,
+		OnSender:  func(service string, sender exchange.Sender) { s.forwarder.UpdateReport(service, sender) },
+		OnCold:    s.observer.logColdChange, OnColdProbeFailed: s.observer.logColdUnknown,
 		ConfirmedAt: func() (time.Duration, bool) { return s.controlClient.ConfirmedAt() },
 	})
 	s.observer.registerGate(s.admin.Registry, s.gate)
 	s.observer.registerBackend(s.admin.Registry, s.gate)
 	s.backendRegistry = registration.New(registration.Config{
 		Gate: s.gate, GateAddress: s.settings.GateAdvertise, Service: s.settings.Service,
-		Changed: func() { s.controlClient.PingSoon() }, OnChange: s.logBackend,
+		OnAnnouncement: func() { s.controlClient.PingSoon() }, OnStateChange: s.logBackend,
 	})
 	var err error
 	if s.gateListener, err = wire.Listen(s.settings.GateListen); err != nil {
@@ -75,12 +75,12 @@
 		h.Zone = s.settings.Zone
 	}
 	if s.backendRegistry != nil {
-		s.backendRegistry.Take(h)
+		s.backendRegistry.HandleHeartbeat(h)
 	}
 }
 
-// HeartbeatRefused counts and logs a rejected heartbeat, for instance of a service unknown here.
-func (s *Server) HeartbeatRefused(id string, err error) {
+// HeartbeatRejected counts and logs a rejected heartbeat, for instance of a service unknown here.
+func (s *Server) HeartbeatRejected(id string, err error) {
 	s.observer.heartbeatsRejected.Inc()
 	s.logger.Log("event", "heartbeat_refused", "instance", id, "error", err)
 }
@@ -91,16 +91,16 @@
 	return name == s.settings.Service || s.forwarder == nil || s.forwarder.KnowsService(name)
 }
 
-// BackendLeft removes a back end that deregistered itself.
-func (s *Server) BackendLeft(id string) {
+// DeregisterBackend removes a back end that deregistered itself.
+func (s *Server) DeregisterBackend(id string) {
 	if s.backendRegistry != nil {
-		s.backendRegistry.Leave(id, time.Now())
+		s.backendRegistry.RecordDeparture(id, time.Now())
 	}
 }
 
 func (s *Server) logBackend(h registration.Heartbeat) {
 	states := map[registration.State]string{
-		registration.Ready: "ready", registration.Draining: "draining", registration.Gone: "gone",
+		registration.Ready: "ready", registration.Draining: "draining", registration.Departed: "gone",
 	}
 	s.logger.Log("event", "backend", "instance", h.ID, "state", states[h.State], "sequence", h.Sequence, "capacity", h.Capacity)
 }
@@ -109,9 +109,9 @@
 func (s *Server) announce() protocol.Announce {
 	announcement := protocol.Announce{Closed: s.closedGateReport()}
 	if s.backendRegistry != nil {
-		announcement.Endpoints = s.backendRegistry.Announcements()
+		announcement.Endpoints = s.backendRegistry.PendingAnnouncements()
 	}
-	if evidence := s.suspects.Take(s.clock.Elapsed()); !evidence.Empty() {
+	if evidence := s.suspects.Pending(s.clock.Elapsed()); !evidence.Empty() {
 		announcement.Evidence = &evidence
 	}
 	announcement.Rollouts = s.rolloutReports()
--- a/pkg/proxy/observer.go
+++ b/pkg/proxy/observer.go
@@ -80,7 +80,7 @@
 	gauge("bramblelift_gate_capacity", "Calls that the back end works on at once.", func(r exchange.Report) float64 { return float64(r.Capacity) })
 	gauge("bramblelift_gate_link_wait_seconds", "For how long the next large answer waits for the machine's link.",
 		func(r exchange.Report) float64 { return r.LinkWait.Seconds() })
-	gauge("bramblelift_gate_failing_ratio", "Share of the latest calls that the back end failed.", func(r exchange.Report) float64 { return r.Failing })
+	gauge("bramblelift_gate_failing_ratio", "Share of the latest calls that the back end failed.", func(r exchange.Report) float64 { return r.FailureRate })
 	gauge("bramblelift_gate_cold_seconds", "For how much longer the back end is cold; zero if it is warm.",
 		func(r exchange.Report) float64 { return r.Cold.Remaining.Seconds() })
 }
@@ -110,7 +110,7 @@
 	}
 	registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Name: "bramblelift_evidence_lost_total", Help: "Ends of back ends and answers to suspects that were not told, since too much waited.",
-	}, func() float64 { return float64(outbox.Lost()) }))
+	}, func() float64 { return float64(outbox.Dropped()) }))
 }
 
 // registerLink registers the bytes transferred over the machine's link.
@@ -142,8 +142,8 @@
 }
 
 // registerLargeResponses registers how much of the machine's link and of memory large bodies and responses use.
-func (o *observer) registerLargeResponses(registry prometheus.Registerer, m *link.Meter, buffer *exchange.AnswerBuffer) {
-	for direction, read := range map[string]func() int64{"received": m.BodiesReceived, "sent": m.AnswersSent} {
+func (o *observer) registerLargeResponses(registry prometheus.Registerer, m *link.Meter, buffer *exchange.ResponseBuffer) {
+	for direction, read := range map[string]func() int64{"received": m.ScheduledBodyBytesReceived, "sent": m.LargeResponseBytesSent} {
 		registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 			Name: "bramblelift_link_large_bytes_total", Help: "Bytes of large request bodies received and of large answers sent.",
 			ConstLabels: prometheus.Labels{"direction": direction},
@@ -187,10 +187,10 @@
 		"link_wait", a.Report.LinkWait, "wait", a.Wait.Round(time.Microsecond), "took", a.Elapsed.Round(time.Microsecond), "left", a.Left.Round(time.Millisecond), "again", a.Retried)
 }
 
-// crowding records that the link to another region became congested or clear.
-func (o *observer) crowding(region string, crowding link.Crowding, rise time.Duration) {
+// congestion records that the link to another region became congested or clear.
+func (o *observer) congestion(region string, congestion link.Congestion, rise time.Duration) {
 	o.regionDelayRise.WithLabelValues(region).Set(rise.Seconds())
-	o.logger.Log("event", "region_crowding", "region", region, "crowding", crowding, "delay_rise", rise.Round(time.Millisecond))
+	o.logger.Log("event", "region_crowding", "region", region, "crowding", congestion, "delay_rise", rise.Round(time.Millisecond))
 }
 
 // gateCall counts a call at the gate, and logs one that failed there.
@@ -209,6 +209,6 @@
 		return
 	}
 	o.logger.Log("event", "gate_refused", "request", call.RequestID, "instance", call.Backend, "reason", string(call.Reason),
-		"error", call.Err, "on_its_way", call.OnItsWay.Round(time.Millisecond), "waited", call.Waited.Round(time.Microsecond), "service", call.Service.Round(time.Microsecond),
+		"error", call.Err, "on_its_way", call.TransitDelay.Round(time.Millisecond), "waited", call.Waited.Round(time.Microsecond), "service", call.Service.Round(time.Microsecond),
 		"running", call.Report.Running, "queued", call.Report.Queued, "capacity", call.Report.Capacity, "fingerprint", call.Fingerprint.Short())
 }
--- a/pkg/proxy/proxy.go
+++ b/pkg/proxy/proxy.go
@@ -35,7 +35,7 @@
 	"github.com/go-kit/log"
 )
 
-// Limits and timeouts of a node.
+// These constants are the limits and timeouts of a node.
 const (
 	// dialTimeout is short, since a machine that is down does not respond and another server can be
 	// tried.
@@ -54,7 +54,7 @@
 	// maxBufferedResponseBytes bounds the large responses buffered for callers that read slowly. Beyond
 	// it a response is streamed, which occupies its back end until the caller has read it.
 	maxBufferedResponseBytes = 24 << 20
-	// idleBeforeStop is for how long no call must have arrived before a stopping node closes.
+	// idleBeforeStop is how long a stopping node must receive no call before it closes.
 	idleBeforeStop = time.Second
 	minIdlePoll    = 100 * time.Millisecond
 	// maxStatusTenants bounds the tenants listed in /status, since there may be thousands.
@@ -70,7 +70,7 @@
 	settings       settings.Proxy
 	logger         log.Logger
 	clock          *clock.Clock
-	keeper         *Keeper
+	store          *ConfigStore
 	controlClient  *stream.Client
 	forwarder      *forward.Handler
 	callerServer   *pipeline.Server
@@ -80,12 +80,12 @@
 	// responsePacer limits the rate of large responses of the node and its gate; nil for no limit.
 	responsePacer *exchange.Pacer
 	// responseBuffer bounds the memory for large responses of the node and its gate.
-	responseBuffer *exchange.AnswerBuffer
+	responseBuffer *exchange.ResponseBuffer
 	inFlight       inFlightCalls
 	stopping       atomic.Bool
 	saveFailed     chan error
-	// lastCallAt is the arrival of the last call, stopsAt the time until which calls must have ended, zero
-	// unless the node is stopping. Both are readings of clock.
+	// lastCallAt is when the last call arrived. stopsAt is when all calls must have ended, zero unless the
+	// node is stopping. Both are readings of clock.
 	lastCallAt atomic.Int64
 	stopsAt    atomic.Int64
 
@@ -111,12 +111,12 @@
 // New opens the node's listeners and loads its saved configuration. newPlatformHandler, if not nil,
 // returns the handler served at config.InterfaceListen.
 func New(config settings.Proxy, logger log.Logger, newPlatformHandler func(*Server) http.Handler) (*Server, error) {
-	s := &Server{settings: config, logger: logger, clock: clock.New(), link: link.NewMeter(config.LinkMegabits * megabit), responseBuffer: exchange.NewAnswerBuffer(maxBufferedResponseBytes), saveFailed: make(chan error, 1)}
+	s := &Server{settings: config, logger: logger, clock: clock.New(), link: link.NewMeter(config.LinkMegabits * megabit), responseBuffer: exchange.NewResponseBuffer(maxBufferedResponseBytes), saveFailed: make(chan error, 1)}
 	if config.LinkMegabits > 0 {
-		s.responsePacer = exchange.NewAnswerPacer(config.LinkMegabits*megabit, s.link.UnpacedRate, s.clock.Now)
+		s.responsePacer = exchange.NewResponsePacer(config.LinkMegabits*megabit, s.link.UnpacedRate, s.clock.Now)
 	}
 	s.quotas = quota.NewLimiter(quota.Config{Window: config.Quotas.Policy().Window, Life: rand.Uint64(), OnSurge: func() { s.controlClient.PingSoon() }})
-	if err := s.openKeeper(); err != nil {
+	if err := s.openStore(); err != nil {
 		return nil, err
 	}
 	var err error
@@ -139,7 +139,7 @@
 		return nil, err
 	}
 	s.forwarder = forward.New(s.forwardConfig())
-	s.callerServer = s.newServer(http.HandlerFunc(s.serveCall), s.forwarder.MayRunBeside)
+	s.callerServer = s.newServer(http.HandlerFunc(s.serveCall), s.forwarder.MayRunConcurrently)
 	return s, s.newClient()
 }
 
@@ -152,19 +152,19 @@
 	})
 }
 
-func (s *Server) openKeeper() error {
+func (s *Server) openStore() error {
 	verifier, err := s.settings.Verifier()
 	if err != nil {
 		return err
 	}
 	var files storage.FileSystem
 	if s.settings.Data != "" {
-		if files, err = storage.OpenFolder(s.settings.Data); err != nil {
+		if files, err = storage.OpenDir(s.settings.Data); err != nil {
 			return err
 		}
 	}
-	s.keeper, err = NewKeeper(KeeperConfig{
-		Files: files, Group: s.settings.Group, Verifier: verifier, InForce: s.activate,
+	s.store, err = NewConfigStore(StoreConfig{
+		Files: files, Group: s.settings.Group, Verifier: verifier, OnActivate: s.activate,
 		OnFailure: func(err error) {
 			select {
 			case s.saveFailed <- err:
@@ -176,8 +176,8 @@
 }
 
 func (s *Server) newClient() error {
-	relayLink := &metrics.Link{}
-	relayLink.Set(metrics.LinkRelay)
+	relayRole := &metrics.PeerRole{}
+	relayRole.Set(metrics.LinkRelay)
 	var err error
 	s.controlClient, err = stream.NewClient(stream.ClientConfig{
 		Hello: protocol.Hello{
@@ -189,13 +189,13 @@
 		SilenceTimeout: time.Duration(s.settings.SilenceTimeout),
 		DialTimeout:    dialTimeout,
 		Wrap:           func(conn net.Conn) net.Conn { return s.link.Conn(link.Control, conn) },
-		Observe:        metrics.NewTraffic(s.admin.Registry).Observe(relayLink),
+		Observe:        metrics.NewTraffic(s.admin.Registry).Observe(relayRole),
 		Logger:         s.logger,
 		Now:            s.clock.Elapsed,
-		OnConfirmed:    s.keeper.Confirmed,
+		OnConfirmed:    s.store.Confirmed,
 		Announce:       s.announce,
 		OnQuotas:       s.applyQuotaShares,
-	}, s.keeper, serverCandidates(s.settings))
+	}, s.store, serverCandidates(s.settings))
 	return err
 }
 
@@ -216,21 +216,21 @@
 func (s *Server) forwardConfig() forward.Config {
 	config := forward.Config{
 		Node: s.settings.Name, Zone: s.settings.Zone, Region: s.settings.Zones[s.settings.Zone], Now: s.clock.Elapsed,
-		Retry: retry.DefaultConfig(), Declines: retry.DeclineConfig(), OnCall: s.observer.call,
+		Retry: retry.DefaultConfig(), DeclinedRetries: retry.DeclinedRetriesConfig(), OnCall: s.observer.call,
 		StopsAt: func() time.Duration { return time.Duration(s.stopsAt.Load()) },
 		Link:    s.link,
-		Headers: s.settings.Headers, Service: s.settings.Service, OnAttempt: s.observer.attempt, OnCrowding: s.observer.crowding,
-		Quarantine: &s.quarantine, OnEnded: s.onCrash, OnAnswered: s.onWatchedResponse,
+		Headers: s.settings.Headers, Service: s.settings.Service, OnAttempt: s.observer.attempt, OnCongestion: s.observer.congestion,
+		Quarantine: &s.quarantine, OnCrash: s.onCrash, OnSuspectResponse: s.onWatchedResponse,
 		Quotas: s.quotas, KeysStaleLimit: time.Duration(s.settings.KeysStaleLimit),
 		ConfirmedAt: func() (time.Duration, bool) { return s.controlClient.ConfirmedAt() }, StaleLimit: time.Duration(s.settings.StaleLimit),
 	}
 	if s.settings.LinkMegabits > 0 {
 		config.Pacer = exchange.NewPacer(s.settings.LinkMegabits*megabit, exchange.RequestShare, s.clock.Now)
 	}
-	config.Answers, config.AnswerBuffer = s.responsePacer, s.responseBuffer
+	config.ResponsePacer, config.ResponseBuffer = s.responsePacer, s.responseBuffer
 	if s.gate != nil {
 		config.BackendHost, config.RetryShare = s.backendHost(), s.gate.RetryShare
-		config.GateAddress, config.Gate, config.Sender = s.settings.GateAdvertise, s.gate.Do, s.gate.Sender
+		config.GateAddress, config.Gate, config.SenderReport = s.settings.GateAdvertise, s.gate.Do, s.gate.SenderReport
 		config.Retry = retry.Config{Ratio: s.settings.Retries.Ratio, Max: maxSavedRetries}
 	}
 	return config
@@ -240,7 +240,7 @@
 // a configuration cannot be saved, or calls are still in flight after StopTimeout.
 func (s *Server) Run(ctx context.Context) error {
 	s.logger.Log("event", "started", "listen", s.callerListener.Addr(), "admin", s.admin.Address(), "group", s.settings.Group)
-	s.keeper.Start()
+	s.store.Start()
 	background, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -322,17 +322,17 @@
 	StaleMillis int64                        `json:"stale_millis"`
 	Pools       map[string][]balancer.Status `json:"pools"`
 	// Tenants are the tenants with a limit whose calls this node rejected most.
-	Tenants []quota.Standing `json:"tenants,omitempty"`
+	Tenants []quota.TenantStats `json:"tenants,omitempty"`
 }
 
 func (s *Server) status() any {
 	status := Status{
 		Name: s.settings.Name, Group: s.settings.Group, Zone: s.settings.Zone,
-		Server: s.controlClient.Server(), Serving: s.keeper.Serving(), Stopping: s.stopping.Load(),
-		Version: s.forwarder.Version(), Position: s.keeper.Position(), Pools: s.forwarder.Pools(),
+		Server: s.controlClient.Server(), Serving: s.store.Serving(), Stopping: s.stopping.Load(),
+		Version: s.forwarder.Version(), Position: s.store.Position(), Pools: s.forwarder.Pools(),
 	}
-	standings := s.quotas.Standings()
-	status.Tenants = standings[:min(len(standings), maxStatusTenants)]
+	stats := s.quotas.Stats()
+	status.Tenants = stats[:min(len(stats), maxStatusTenants)]
 	if at, confirmed := s.controlClient.ConfirmedAt(); confirmed {
 		status.Confirmed = true
 		status.StaleMillis = (s.clock.Elapsed() - at).Milliseconds()
@@ -344,7 +344,7 @@
 	if s.stopping.Load() {
 		return errors.New("stopping")
 	}
-	if !s.keeper.Serving() {
+	if !s.store.Serving() {
 		return errors.New("no configuration is in force yet")
 	}
 	return nil
@@ -353,7 +353,7 @@
 // activate applies a new state to routing, the gate, quotas and rollouts.
 func (s *Server) activate(state *distribution.State) {
 	s.applyWatchlist(state.Watchlist, state.Revision)
-	table := routing.Next(s.table, state, s.settings.Zones)
+	table := routing.Update(s.table, state, s.settings.Zones)
 	if s.table == nil || s.table.Version != table.Version {
 		s.quotas.SetLimits(s.clock.Elapsed(), table.TenantLimits())
 	}
@@ -364,7 +364,7 @@
 	}
 	s.setColdBounds(table)
 	if s.backendRegistry != nil {
-		s.backendRegistry.Observe(state.Endpoints)
+		s.backendRegistry.ApplyState(state.Endpoints)
 	}
 	previousVersion := s.forwarder.Version()
 	s.forwarder.SetTable(table)
--- a/pkg/quarantine/filter.go
+++ b/pkg/quarantine/filter.go
@@ -89,8 +89,7 @@
 	return count
 }
 
-// standing returns the standing for callers and services that have had no response to the request since its
-// last crash.
+// standing returns the standing on ways without a response since the last crash there.
 func (e Entry) standing() Standing {
 	if e.Quarantined {
 		return Quarantined
@@ -110,8 +109,8 @@
 // Empty reports whether there are no suspects.
 func (f *Filter) Empty() bool { return f == nil || f.index.Load() == nil }
 
-// Look returns the standing of a request on a way. body may be only the buffered beginning.
-func (f *Filter) Look(r *http.Request, body []byte, way Way) Match {
+// Lookup returns the standing of a request on a way. body may be only the buffered beginning.
+func (f *Filter) Lookup(r *http.Request, body []byte, way Way) Match {
 	if f == nil {
 		return Match{}
 	}
@@ -119,7 +118,7 @@
 	if index == nil || !index.targetHashes[hashTarget(targetOf(r))] {
 		return Match{}
 	}
-	request := Of(r, body)
+	request := FingerprintOf(r, body)
 	entry, found := index.entries[request]
 	if !found {
 		return Match{}
--- a/pkg/relay/relay.go
+++ b/pkg/relay/relay.go
@@ -26,7 +26,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Bounds of the daemon.
+// These constants are the timeouts and admission limits of a relay.
 const (
 	handshakeTimeout = 3 * time.Second
 	writeTimeout     = 3 * time.Second
@@ -72,13 +72,13 @@
 	}
 	s.hub = stream.NewHub(stream.HubConfig{
 		Name: config.Name, SilenceTimeout: nodeSilenceTimeout,
-		Admission:   stream.AdmissionConfig{PerSecond: admissionPerSecond, Burst: admissionBurst},
-		Now:         s.clock.Elapsed,
-		ConfirmedAt: func() (time.Duration, bool) { return s.client.ConfirmedAt() },
-		WantFresh:   func() { s.client.PingSoon() },
-		OnReport:    s.reports.add,
-		OnAnnounce:  s.queueAnnouncement,
-		Quotas:      s.quotas,
+		Admission:           stream.AdmissionConfig{PerSecond: admissionPerSecond, Burst: admissionBurst},
+		Now:                 s.clock.Elapsed,
+		ConfirmedAt:         func() (time.Duration, bool) { return s.client.ConfirmedAt() },
+		RequestConfirmation: func() { s.client.PingSoon() },
+		OnReport:            s.reports.add,
+		OnAnnounce:          s.queueAnnouncement,
+		Quotas:              s.quotas,
 	}, s.holder.State())
 	if s.listener, err = net.Listen("tcp", config.Listen); err != nil {
 		return nil, fmt.Errorf("listen for nodes: %w", err)
@@ -95,8 +95,8 @@
 }
 
 func (s *Server) newClient() error {
-	link := &metrics.Link{}
-	link.Set(metrics.LinkControl)
+	role := &metrics.PeerRole{}
+	role.Set(metrics.LinkControl)
 	var err error
 	s.client, err = stream.NewClient(stream.ClientConfig{
 		Hello: protocol.Hello{
@@ -107,7 +107,7 @@
 		PingInterval:   time.Duration(s.settings.PingInterval),
 		SilenceTimeout: time.Duration(s.settings.SilenceTimeout),
 		DialTimeout:    dialTimeout,
-		Observe:        s.traffic.Observe(link),
+		Observe:        s.traffic.Observe(role),
 		Logger:         s.logger,
 		Now:            s.clock.Elapsed,
 		TakeReports:    s.takeReports,
@@ -126,14 +126,15 @@
 	return announced
 }
 
-// forwardQuotas pushes shares from the control plane to the nodes. requestedAt is the send time of
-// the ping by which they are dated.
+// forwardQuotas pushes shares from the control plane to the nodes. requestedAt is the time from which
+// their age counts: when the answered ping was sent.
 func (s *Server) forwardQuotas(requestedAt time.Duration, shares quota.Shares) {
 	now := s.clock.Elapsed()
 	shares.Age += now - requestedAt
-	// Replicas send only the shares of limited tenants and of those in the relay's report.
+	// Replicas send only the shares of tenants whose limit is being enforced (quota.Share.Limited) and of
+	// those in the relay's report.
 	shares.Partial = true
-	s.hub.PushQuotas(s.quotas.Hear(now, shares))
+	s.hub.PushQuotas(s.quotas.ApplyShares(now, shares))
 }
 
 // Position implements stream.Target.
@@ -154,12 +155,12 @@
 	return nil
 }
 
-// Current implements stream.Target.
+// Current implements stream.Target. It advances the revision of a state that has not changed.
 func (s *Server) Current(revision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if revision > s.holder.State().Revision {
-		s.holder.Current(revision)
+		s.holder.AdvanceTo(revision)
 		s.hub.SetState(s.holder.State())
 	}
 }
@@ -168,7 +169,7 @@
 // change of server, because the new server has none of them.
 func (s *Server) takeReports() []protocol.NodeReport {
 	server := s.client.Server()
-	if s.reports.switchServer(server) {
+	if s.reports.recordServer(server) {
 		s.reports.discard()
 		return s.hub.Reports()
 	}
@@ -202,9 +203,9 @@
 }
 
 func (s *Server) serve(ctx context.Context, raw net.Conn) {
-	link := &metrics.Link{}
-	link.Set(metrics.LinkNode)
-	conn := wire.NewConn(raw, wire.DefaultMaxFrame, writeTimeout, s.traffic.Observe(link))
+	role := &metrics.PeerRole{}
+	role.Set(metrics.LinkNode)
+	conn := wire.NewConn(raw, wire.DefaultMaxFrame, writeTimeout, s.traffic.Observe(role))
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -15,7 +15,7 @@
 
 // Errors of Propose and of a Completion.
 var (
-	// ErrNotLeader means that another replica must be asked.
+	// ErrNotLeader means that this replica is not the leader, or that its disk rejects writes.
 	ErrNotLeader = raft.ErrNotLeader
 	// ErrUnknownOutcome means that leadership was lost before the command was committed. The
 	// command may still be committed later.
@@ -30,8 +30,8 @@
 	// CompactBytes is the number of bytes by which the log grows until a new snapshot is due;
 	// zero means no limit.
 	CompactBytes int64
-	// RemoveAfter is the time without contact after which the leader removes a member that is
-	// not needed for the tolerated losses; zero means never.
+	// RemoveAfter is the time without contact after which the leader removes a member, if the
+	// remaining voters can still lose ToleratedLosses replicas; zero means never.
 	RemoveAfter time.Duration
 	// ToleratedLosses is the number of replicas that may be lost at the same time.
 	ToleratedLosses int
@@ -74,7 +74,7 @@
 	// compactedSize is the size of the log after the last compaction, in bytes.
 	compactedSize int64
 	replay        replayCost
-	// addresses holds the addresses that replicas reported themselves; see Learn.
+	// addresses holds the addresses that replicas reported themselves; see RecordAddress.
 	addresses map[raft.ReplicaID]string
 	// unsaved holds effects that the disk rejected. Until they are saved the replica processes
 	// nothing, and no message that depends on them is sent.
@@ -142,14 +142,14 @@
 	r.node.Step(now, m)
 }
 
-// Learn records the address that a replica reported itself. A joining replica has no membership
+// RecordAddress records the address that a replica reported itself. A joining replica has no membership
 // yet and needs the address to respond to its leader.
-func (r *Replica) Learn(id raft.ReplicaID, address string) {
+func (r *Replica) RecordAddress(id raft.ReplicaID, address string) {
 	r.addresses[id] = address
 }
 
 // Address returns the address of a replica from the membership or, for one that is not a
-// member, as recorded by Learn. It returns false if there is none.
+// member, as recorded by RecordAddress. It returns false if there is none.
 func (r *Replica) Address(id raft.ReplicaID) (string, bool) {
 	if member, found := r.node.Membership().Find(id); found {
 		return member.Address, true
@@ -158,7 +158,8 @@
 	return address, found
 }
 
-// Propose proposes a command. A Completion with the same ID reports its outcome.
+// Propose proposes a command. Unless it returns an error, a Completion with the same ID reports
+// the outcome.
 func (r *Replica) Propose(id ProposalID, command catalog.Command) error {
 	if r.Stalled() {
 		return ErrNotLeader
@@ -175,8 +176,9 @@
 	return nil
 }
 
-// Flush makes pending effects durable and applies committed entries. If the disk rejects the
-// write, the replica is stalled and Flush returns no error.
+// Flush makes pending effects durable and applies committed entries until none are pending, and
+// compacts the log if that is due. If the disk rejects the write, the replica is stalled and
+// Flush returns no error.
 func (r *Replica) Flush(now time.Duration) (Output, error) {
 	var output Output
 	before := r.catalog.State().Revision
@@ -186,7 +188,7 @@
 			break
 		}
 		if err := r.storage.Save(effects); err != nil {
-			if !errors.Is(err, storage.ErrNoRoom) {
+			if !errors.Is(err, storage.ErrWriteRejected) {
 				return Output{}, fmt.Errorf("make effects durable: %w", err)
 			}
 			r.unsaved = &effects
@@ -306,10 +308,10 @@
 	}
 	kept, hard, entries := r.node.Retained()
 	err = r.storage.Checkpoint(kept, hard, entries)
-	if err != nil && !errors.Is(err, storage.ErrNoRoom) {
+	if err != nil && !errors.Is(err, storage.ErrWriteRejected) {
 		return fmt.Errorf("compact: %w", err)
 	}
-	// After ErrNoRoom the old log remains in use and the next compaction retries.
+	// After ErrWriteRejected the old log remains in use and the next compaction retries.
 	r.compactedSize = r.storage.Size()
 	return nil
 }
--- a/pkg/sim/relay.go
+++ b/pkg/sim/relay.go
@@ -11,13 +11,13 @@
 
 // Timing of the simulated relays and nodes, as in the daemons.
 const (
-	relayPing    = time.Second
-	relaySilence = 3 * time.Second
-	nodePing     = 2 * time.Second
-	nodeSilence  = 5 * time.Second
+	relayPingInterval   = time.Second
+	relaySilenceTimeout = 3 * time.Second
+	nodePingInterval    = 2 * time.Second
+	nodeSilenceTimeout  = 5 * time.Second
 )
 
-// relay is a simulated relay.
+// relay is a simulated relay: a subscriber of control that serves nodes.
 type relay struct {
 	process
 	cluster *cluster
@@ -27,11 +27,11 @@
 }
 
 func (r *relay) start() {
-	if r.alive {
+	if r.running {
 		return
 	}
-	r.begin()
-	r.world.log("%s starts", r.name)
+	r.startRun()
+	r.simulation.log("%s starts", r.name)
 	r.holder = distribution.NewHolder(bundle.ScopeAll, r.cluster.verifier, nil)
 	r.server = newServer(&r.process, r.holder.State(), r.freshness)
 	r.client = &subscriber{
@@ -39,15 +39,15 @@
 		hello:        protocol.Hello{Role: protocol.RoleRelay, Name: r.name, Zone: r.zone, Group: bundle.ScopeAll},
 		selector:     r.cluster.selector(r.zone, r.cluster.controlProcesses()),
 		lookup:       r.cluster.lookupControl,
-		pingInterval: relayPing, silenceTimeout: relaySilence,
+		pingInterval: relayPingInterval, silenceTimeout: relaySilenceTimeout,
 	}
 	r.client.start()
 }
 
 func (r *relay) kill() {
-	if r.alive {
-		r.world.log("%s dies", r.name)
-		r.end()
+	if r.running {
+		r.simulation.log("%s is killed", r.name)
+		r.endRun()
 	}
 }
 
@@ -70,7 +70,7 @@
 // Current implements stream.Target.
 func (r *relay) Current(revision uint64) {
 	if revision > r.holder.State().Revision {
-		r.holder.Current(revision)
+		r.holder.AdvanceTo(revision)
 		r.server.setState(r.holder.State())
 	}
 }
--- a/pkg/stream/hub.go
+++ b/pkg/stream/hub.go
@@ -28,9 +28,9 @@
 	// ConfirmedAt returns when the state was last confirmed to include every accepted change, on
 	// the clock of Now.
 	ConfirmedAt func() (time.Duration, bool)
-	// WantFresh, if set, is called when a subscriber waits for a confirmation of the state that is
+	// RequestConfirmation, if set, is called when a subscriber waits for a confirmation of the state that is
 	// newer than its subscription.
-	WantFresh func()
+	RequestConfirmation func()
 	// OnReport, if set, receives the reports on subscribers and the nodes below them.
 	OnReport func(protocol.NodeReport)
 	// OnAnnounce, if set, receives the announcements of subscribers.
@@ -43,10 +43,10 @@
 
 // Quotas is the part of a server that maintains tenants' quotas.
 type Quotas interface {
-	// Take stores a subscriber's newest report and returns its shares, false if they are not known.
-	Take(now time.Duration, node string, report quota.Report) (quota.Shares, bool)
-	// Leave removes a subscriber that moved to another server or exited.
-	Leave(now time.Duration, node string)
+	// Record stores a subscriber's newest report and returns its shares, false if they are not known.
+	Record(now time.Duration, node string, report quota.Report) (quota.Shares, bool)
+	// RecordDeparture removes a subscriber that moved to another server or exited.
+	RecordDeparture(now time.Duration, node string)
 }
 
 // Hub serves one state to many subscribers. It is safe for concurrent use.
@@ -219,7 +219,7 @@
 	}
 	h.mu.Unlock()
 	if !resubscribed {
-		h.config.Quotas.Leave(h.config.Now(), s.hello.Name)
+		h.config.Quotas.RecordDeparture(h.config.Now(), s.hello.Name)
 	}
 }
 
@@ -235,7 +235,7 @@
 		if s.admitted && s.hello.Level >= catalog.LevelTenants {
 			merged := shares
 			if s.pendingQuotas != nil {
-				merged = shares.Over(*s.pendingQuotas)
+				merged = shares.MergedOver(*s.pendingQuotas)
 			}
 			s.pendingQuotas = &merged
 			s.wake()
@@ -248,7 +248,7 @@
 	if ping.Quotas == nil || h.config.Quotas == nil {
 		return nil
 	}
-	shares, known := h.config.Quotas.Take(h.config.Now(), s.hello.Name, *ping.Quotas)
+	shares, known := h.config.Quotas.Record(h.config.Now(), s.hello.Name, *ping.Quotas)
 	if !known {
 		return nil
 	}
@@ -363,13 +363,13 @@
 	}
 	quotas := h.quotasFor(s, ping)
 	h.mu.Lock()
-	changed := s.session.TakePing(ping)
+	changed := s.session.HandlePing(ping)
 	s.session.quotas = quotas
 	changed = s.setClosed(ping.Closed) || changed
 	h.mu.Unlock()
 	s.wake()
-	if confirmedAt, confirmed := h.config.ConfirmedAt(); h.config.WantFresh != nil && (!confirmed || confirmedAt < s.openedAt) {
-		h.config.WantFresh()
+	if confirmedAt, confirmed := h.config.ConfirmedAt(); h.config.RequestConfirmation != nil && (!confirmed || confirmedAt < s.openedAt) {
+		h.config.RequestConfirmation()
 	}
 	if changed {
 		h.publishReport(s)
@@ -418,7 +418,7 @@
 		h.mu.Unlock()
 		return nil
 	}
-	update, pong, err := s.session.Due(h.planner, h.freshness())
+	update, pong, err := s.session.PendingMessages(h.planner, h.freshness())
 	pushed := s.pendingQuotas
 	s.pendingQuotas = nil
 	var packed *distribution.PackedUpdate
--- a/pkg/stream/hub_test.go
+++ b/pkg/stream/hub_test.go
@@ -89,8 +89,8 @@
 	return pong
 }
 
-// Guards against a hub that claims a fresher state than it has: a node without a disk would start
-// on an old version, and nodes would stay at a server that is cut off.
+// A hub must not claim a fresher state than it has: a node without a disk would start on an old version,
+// and nodes would stay at a server that is cut off.
 func TestHubReportsStaleness(t *testing.T) {
 	is := is.New(t)
 	f := newHubFixture(t)
@@ -132,7 +132,7 @@
 	is.Equal(f.announced, []protocol.Announce{{Endpoints: []distribution.Endpoint{endpoint}, Evidence: evidence}})
 }
 
-// Guards against a list update that moves a client off its server or forgets failure marks.
+// A new list of servers must neither move a client off its server nor drop failure marks.
 func TestNewCandidateListKeepsFailureState(t *testing.T) {
 	is := is.New(t)
 	config := DefaultSelectorConfig()
@@ -140,12 +140,12 @@
 	s := NewSelector(config, []Candidate{{Address: "seed"}})
 	first, _ := s.Next(0)
 	is.Equal(first.Address, "seed")
-	s.Offer([]Candidate{{Address: "far"}, {Address: "near", Near: true}})
+	s.SetCandidates([]Candidate{{Address: "far"}, {Address: "near", Near: true}})
 	s.Failed(0, 0) // fails the seed, which is no longer listed
 	next, _ := s.Next(time.Second)
 	is.Equal(next.Address, "near")
 	s.Failed(time.Second, 0)
-	s.Offer([]Candidate{{Address: "near", Near: true}, {Address: "far"}})
+	s.SetCandidates([]Candidate{{Address: "near", Near: true}, {Address: "far"}})
 	next, _ = s.Next(time.Second + 200*time.Millisecond)
 	is.Equal(next.Address, "far") // near is still marked as failed
 }
@@ -158,18 +158,18 @@
 	s.Next(0)
 	spread := pingInterval + pingInterval/4
 	for now := spread - time.Millisecond; ; now += spread {
-		if s.Heard(now, Standing{Confirmed: true, Stale: now}) {
+		if s.ObservePong(now, ServerHealth{Confirmed: true, Stale: now}) {
 			return now
 		}
 	}
 }
 
 // A version must be in force 2 s after its acknowledgement, also on a node whose server was cut off
-// just before. The default configuration allows 8 s.
+// just before. That takes a shorter StaleLimit than the default.
 func TestClientLeavesStaleServerWithinDeadline(t *testing.T) {
 	is := is.New(t)
 	const pingInterval, inForce, resubscribe = 400 * time.Millisecond, 2 * time.Second, 200 * time.Millisecond
 	is.True(timeToLeaveStaleServer(SelectorConfigFor(900*time.Millisecond), pingInterval) < inForce-resubscribe)
 	is.True(timeToLeaveStaleServer(DefaultSelectorConfig(), pingInterval) > inForce)
-	is.Equal(SelectorConfigFor(2500*time.Millisecond).BadMemory, DefaultSelectorConfig().BadMemory)
+	is.Equal(SelectorConfigFor(2500*time.Millisecond).FailureMarkDuration, DefaultSelectorConfig().FailureMarkDuration)
 }
--- a/pkg/stream/stale_server_test.go
+++ b/pkg/stream/stale_server_test.go
@@ -54,8 +54,8 @@
 	return h
 }
 
-// Guards against a client that drops a stale server before another one accepts it: it would miss
-// the updates that the server receives when a partition heals.
+// A client must not drop a stale server before another one accepts it: it would miss the updates that
+// the stale server receives when a partition heals.
 func TestClientKeepsStaleServerUntilAnotherIsReachable(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -71,7 +71,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	is.True(dialled.Load() > 0)              // it dials another server
-	is.Equal(client.Server(), stale.address) // and keeps the stale one
+	is.Equal(client.Server(), stale.address) // the client keeps the stale one
 	stale.SetState(&distribution.State{Revision: 2, Endpoints: distribution.EndpointTable{}})
 	for deadline := time.Now().Add(pipeTimeout / 2); client.target.Position().Revision < 2 && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
@@ -96,8 +96,7 @@
 	is.Equal(client.Server(), fresh.address)
 }
 
-// Guards against clients that can never connect over a saturated link because every dial times out
-// early.
+// A client must be able to connect over a saturated link, on which every dial with a short timeout fails.
 func TestDialTimeoutGrowsAfterRepeatedFailures(t *testing.T) {
 	is := is.New(t)
 	c := &Client{config: ClientConfig{DialTimeout: 400 * time.Millisecond}}
@@ -119,16 +118,16 @@
 	s.Next(0)
 	s.MarkUnreachable(0, "c")
 	s.MarkUnreachable(time.Second, "b")
-	_, known := s.AlternativeFor(2*time.Second, Standing{})
+	_, known := s.AlternativeFor(2*time.Second, ServerHealth{})
 	is.True(!known) // a stale server is not left for a failed one
-	other, known := s.AlternativeFor(2*time.Second, Standing{Behind: true})
+	other, known := s.AlternativeFor(2*time.Second, ServerHealth{Behind: true})
 	is.True(known)
 	is.Equal(other.Address, "c")
-	_, known = testSelector("behind").AlternativeFor(0, Standing{Behind: true})
+	_, known = testSelector("behind").AlternativeFor(0, ServerHealth{Behind: true})
 	is.True(!known)
 }
 
-// Guards against a logged reason that names staleness from which the server has recovered.
+// The logged reason for a move must not name staleness from which the server has recovered.
 func TestMoveReasonReflectsCurrentState(t *testing.T) {
 	is := is.New(t)
 	s := &clientSession{client: &Client{
@@ -137,8 +136,8 @@
 	}}
 	s.openingSuccessor = true // prevents dialling
 	s.client.selector.Next(0)
-	s.considerMove(context.Background(), Standing{Confirmed: true, Stale: time.Hour})
+	s.considerMove(context.Background(), ServerHealth{Confirmed: true, Stale: time.Hour})
 	is.True(s.moveReason() != errNearerServer.Error())
-	s.considerMove(context.Background(), Standing{Confirmed: true})
+	s.considerMove(context.Background(), ServerHealth{Confirmed: true})
 	is.Equal(s.moveReason(), errNearerServer.Error())
 }
