--- a/pkg/quota/limiter_test.go
+++ b/pkg/quota/limiter_test.go
@@ -293,7 +293,7 @@
 }
 
 // A new leader must count replicas that had no leader: they can't have received its shares before it sent any.
-func TestNewLeaderResumesReplicasWithoutLeader(t *testing.T) {
+func TestNewLeaderTakesOverReplicasThatHadNone(t *testing.T) {
 	is := is.New(t)
 	now := second
 	before, replica := NewAllocator(0, testPolicy), NewReplica("a", testPolicy)
--- a/pkg/quota/lives.go
+++ b/pkg/quota/lives.go
@@ -27,7 +27,8 @@
 	Silent bool
 	// Unseen is the unknown fraction of a silent run's window.
 	Unseen float32
-	// Uses are those of its last report, with Parts.
+	// Uses describes the run's calls as of its last report, with Parts set and calls estimated up to its
+	// departure.
 	Uses []Use
 }
 
@@ -69,7 +70,8 @@
 	}
 }
 
-// unseen returns the unknown fraction of the last window.
+// unseen returns the fraction of the last window in which the node's calls are unknown, zero if its
+// previous run is known.
 func (r latestReport) unseen(window time.Duration) float64 {
 	if r.hasPredecessor {
 		return 0
--- a/pkg/quota/simulation_test.go
+++ b/pkg/quota/simulation_test.go
@@ -19,7 +19,7 @@
 // span is an interval of simulated time.
 type span struct{ from, to time.Duration }
 
-func (s span) holds(now time.Duration) bool { return now >= s.from && now < s.to }
+func (s span) contains(now time.Duration) bool { return now >= s.from && now < s.to }
 
 // scenario configures one simulation.
 type scenario struct {
@@ -161,7 +161,7 @@
 			m.run()
 		}
 		delete(sim.inbox, sim.now)
-		if sim.powerLost.holds(sim.now) {
+		if sim.powerLost.contains(sim.now) {
 			continue
 		}
 		sim.generateCalls()
@@ -185,14 +185,14 @@
 
 // isPartitioned reports whether a replica and its nodes are isolated.
 func (sim *simulation) isPartitioned(replica int) bool {
-	return replica == sim.scenario.replicas-1 && sim.partition.holds(sim.now)
+	return replica == sim.scenario.replicas-1 && sim.partition.contains(sim.now)
 }
 
 func (sim *simulation) injectFaults() {
 	if sim.leaderLost > 0 && sim.now == sim.leaderLost {
 		sim.leader, sim.leaderAt = nil, sim.now+sim.randomDelay(500, 1500)
 	}
-	if sim.leader == nil && sim.now >= sim.leaderAt && !sim.powerLost.holds(sim.now) {
+	if sim.leader == nil && sim.now >= sim.leaderAt && !sim.powerLost.contains(sim.now) {
 		sim.leader = NewAllocator(sim.now, testPolicy)
 	}
 	if sim.powerLost.from > 0 && sim.now == sim.powerLost.from {
@@ -259,7 +259,7 @@
 	for i, tr := range sim.traffic {
 		rate := tr.rate
 		for _, flood := range sim.floods {
-			if flood.tenant == i && flood.holds(sim.now) {
+			if flood.tenant == i && flood.contains(sim.now) {
 				rate *= flood.factor
 			}
 		}
