--- a/pkg/quarantine/evidence.go
+++ b/pkg/quarantine/evidence.go
@@ -47,7 +47,8 @@
 type Ruling string
 
 const (
-	// Impose rejects the request at all gates.
+	// Impose starts a quarantine: gates reject the request, except on ways with a response since the last
+	// crash there.
 	Impose Ruling = "impose"
 	// Lift admits the request on trial: one more crash restores the quarantine for a longer term.
 	Lift Ruling = "lift"
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -284,7 +284,7 @@
 	is.Equal(verdicts, []Verdict{{Request: "r", Ruling: Impose}})
 }
 
-// Guards against quarantining a harmless request because no back end admitted it: a missing response is
+// A harmless request must not be quarantined because no back end admitted it: a missing response is
 // evidence only after an attempt that was admitted while watched.
 func TestNoQuarantineWithoutWatchedAttempt(t *testing.T) {
 	is := is.New(t)
--- a/pkg/quarantine/watchlist.go
+++ b/pkg/quarantine/watchlist.go
@@ -27,7 +27,7 @@
 	for _, s := range t.published() {
 		list.Entries = append(list.Entries, Entry{Request: s.Request, Quarantined: s.Quarantined, Answered: s.Answered})
 	}
-	// Makes the order independent of the order of changes.
+	// Sorting makes the order independent of the order of changes.
 	slices.SortFunc(list.Entries, func(a, b Entry) int { return cmp.Compare(a.Request, b.Request) })
 	return list
 }
