--- a/pkg/rollout/judge.go
+++ b/pkg/rollout/judge.go
@@ -203,10 +203,10 @@
 		if since >= p.duration {
 			return revert(held, now, j.timeoutReason(now, held, view, v)), true
 		}
-		return j.grantStep(next, changed)
+		return j.numberGrantStep(next, changed)
 	}
 	if held.Share == FullShare && !v.mayClose() && since < p.closeBy() {
-		return j.grantStep(next, changed)
+		return j.numberGrantStep(next, changed)
 	}
 	if held.Share == FullShare {
 		next.Reason = j.evidenceReason()
@@ -353,8 +353,8 @@
 	return next
 }
 
-// grantStep numbers a step that changes only grants.
-func (j *Judge) grantStep(next Rollout, changed bool) (Rollout, bool) {
+// numberGrantStep numbers a step that changes only grants.
+func (j *Judge) numberGrantStep(next Rollout, changed bool) (Rollout, bool) {
 	if changed {
 		next.Step++
 		next.Reached = max(next.Reached, j.reachedCalls())
--- a/pkg/rollout/judge_test.go
+++ b/pkg/rollout/judge_test.go
@@ -147,7 +147,7 @@
 	}
 }
 
-// Guards against requiring evidence from more back ends than the version has.
+// The evidence required must not come from more back ends than the version has.
 func TestBadVersionsWithFewBackendsAreRolledBack(t *testing.T) {
 	for backends := 1; backends <= 4; backends++ {
 		for _, d := range []defect{{fails: 0.7, route: 0}, {fails: 0.4, route: -1}} {
--- a/pkg/rollout/report.go
+++ b/pkg/rollout/report.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// Admitted returns the number of admitted calls.
+// Admitted returns how many calls were counted since the tally was created, retries included.
 func (t *Tally) Admitted() uint64 {
 	return t.admitted
 }
--- a/pkg/rollout/rollout.go
+++ b/pkg/rollout/rollout.go
@@ -18,8 +18,8 @@
 const (
 	// Running rollouts move calls to the new version in stages.
 	Running Phase = iota + 1
-	// Closing rollouts send all calls to the new version, and gates of other versions admit none. The old
-	// back ends still run, so that a rollback remains possible.
+	// Closing rollouts send all calls to the new version, and gates of other versions admit none unless
+	// their lease has expired. The old back ends still run, so that a rollback remains possible.
 	Closing
 	// Completed rollouts have succeeded: the old back ends may stop.
 	Completed
@@ -97,7 +97,8 @@
 	Rollout Rollout `json:"rollout"`
 }
 
-// Exposed returns the largest number of calls that the new version's gates may have admitted.
+// Exposed returns the sum of all grants: the largest number of calls that the new version's gates may
+// have admitted while Running.
 func (r Rollout) Exposed() uint64 {
 	sum := r.Spent
 	for _, g := range r.Grants {
--- a/pkg/rollout/schedule.go
+++ b/pkg/rollout/schedule.go
@@ -3,7 +3,7 @@
 import "time"
 
 // canaryShare is the new version's share, in thousandths, for most of the duration: enough calls for a
-// verdict and well below the usual exposure.
+// verdict and well below the default of Policy.ExposureShare.
 const canaryShare = 40
 
 // stages are the shares from the canary to all calls. The steps after the canary come as late as the
--- a/pkg/rollout/series.go
+++ b/pkg/rollout/series.go
@@ -42,9 +42,9 @@
 	s.oldest = (s.oldest + 1) % maxWindowTicks
 }
 
-// since returns the counts of the last ticks, or all counts for allTime and for windows beyond the
+// lastTicks returns the counts of the last ticks, or all counts for allTime and for windows beyond the
 // history.
-func (s *series) since(ticks int) counts {
+func (s *series) lastTicks(ticks int) counts {
 	if ticks == allTime || ticks > len(s.history) {
 		return s.current
 	}
@@ -207,7 +207,7 @@
 
 // sampleOf returns the sample of a window, with times classified by the route's baselines.
 func (s *series) sampleOf(ticks int, r *routeBaselines) sample {
-	d := s.since(ticks)
+	d := s.lastTicks(ticks)
 	result := sample{
 		gateRun:      s.gateRun.report.Life,
 		zone:         s.gateRun.report.Zone,
@@ -302,7 +302,7 @@
 func (run *processRun) recentSample(ticks int) sample {
 	result := sample{zone: run.report.Zone}
 	for _, s := range run.routes {
-		d := s.since(ticks)
+		d := s.lastTicks(ticks)
 		result.calls += float64(d.answered + d.failed)
 		result.failed += float64(d.failed)
 	}
--- a/pkg/rollout/simulation_test.go
+++ b/pkg/rollout/simulation_test.go
@@ -38,7 +38,7 @@
 	duplicates        bool             // clients send every call twice at once, the second marked as a repeat
 	slowNode          bool             // one node receives state a second late or more
 	coldFactor        float64          // slowdown of cold back ends
-	allNewCold        bool             // all new back ends become cold, instead of every fourth of all
+	allNewCold        bool             // at backToCold all new back ends become cold, otherwise a quarter of all back ends
 	stateLoss         [2]time.Duration // from, to: most state updates are lost
 }
 
