--- a/pkg/routing/large_test.go
+++ b/pkg/routing/large_test.go
@@ -29,7 +29,7 @@
 	return c
 }
 
-// versionUpdates returns updates that each change one or two of many routes.
+// versionUpdates returns updates of many routes: the first adds all, each further one changes one or two.
 func versionUpdates(b *testing.B, routes, versions int) []*distribution.Update {
 	b.Helper()
 	state := &distribution.State{}
--- a/pkg/routing/routing.go
+++ b/pkg/routing/routing.go
@@ -65,7 +65,8 @@
 
 // Endpoint is one back end of a service, with its eligibility for calls.
 type Endpoint struct {
-	ID          string
+	ID string
+	// Incarnation increases each time the machine with this ID is replaced or restarted.
 	Incarnation uint64
 	Address     string
 	Zone        string
@@ -91,8 +92,8 @@
 	MaxConcurrency int
 	// MaxConnections bounds the connections of one node to one back end.
 	MaxConnections int
-	// ColdStart is how long a back end stays cold after its start, ColdRate the calls per second that it
-	// can take while cold; zero for no bound.
+	// A back end is cold for ColdStart after its start: it then sustains only ColdRate calls per second.
+	// Zero for no bound.
 	ColdStart time.Duration
 	ColdRate  float64
 	// Rollout is the service's newest rollout, nil if it never had one.
@@ -235,5 +236,5 @@
 // HasRoute reports whether the table has a route with the given name.
 func (t *Table) HasRoute(name string) bool { return t.routes.names[name] }
 
-// RouteCount returns the number of routes in the table.
+// RouteCount returns the number of distinct route names in the table.
 func (t *Table) RouteCount() int { return len(t.routes.names) }
--- a/pkg/routing/routing_test.go
+++ b/pkg/routing/routing_test.go
@@ -48,6 +48,7 @@
 	is.New(t).True(!found)
 }
 
+// A bundle with HandBack set sends the calls of a route to its HandBackService, if it has one.
 func TestHandBackSwitchesRoutesToTheOldService(t *testing.T) {
 	is := is.New(t)
 	route, _ := New(testState(false)).Match("", "/orders")
