--- a/pkg/retry/budget.go
+++ b/pkg/retry/budget.go
@@ -29,7 +29,8 @@
 	return Config{Ratio: 1, PerSecond: 1, Max: 50}
 }
 
-// Budget is a token bucket that first attempts fill and retries drain. It is safe for concurrent use.
+// Budget is a token bucket: the first attempts of calls fill it, and retries drain it. It is safe for
+// concurrent use.
 type Budget struct {
 	config Config
 
--- a/pkg/retry/throttle.go
+++ b/pkg/retry/throttle.go
@@ -40,7 +40,7 @@
 	return true
 }
 
-// Granted records that a request was granted.
+// Granted records that a server accepted a sent request.
 func (t *Throttle) Granted(now time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/pkg/retry/throttle_test.go
+++ b/pkg/retry/throttle_test.go
@@ -54,8 +54,8 @@
 	is.Equal(throttle.NotGranted(0), 6/(16+freeRequests))
 }
 
-// Guards against throttling after responses that say nothing about the servers' capacity.
-func TestWithdrawnRequestsDoNotCount(t *testing.T) {
+// Responses that say nothing about the servers' capacity must not cause throttling.
+func TestCancelledRequestsDoNotCount(t *testing.T) {
 	is := is.New(t)
 	var throttle Throttle
 	for range 100 {
