--- a/pkg/eligibility/eligibility_test.go
+++ b/pkg/eligibility/eligibility_test.go
@@ -29,17 +29,17 @@
 func TestRolloutPhasesRefuseAndCloseBackends(t *testing.T) {
 	is := is.New(t)
 	for phase, want := range map[rollout.Phase]struct {
-		new exchange.Reason // why back ends of the new version are refused
-		old bool            // whether gates of the old version close
+		new       exchange.Reason // why back ends of the new version are refused
+		oldCloses bool            // whether gates of the old version close
 	}{
-		rollout.Running: {}, rollout.Closing: {old: true}, rollout.Completed: {},
+		rollout.Running: {}, rollout.Closing: {oldCloses: true}, rollout.Completed: {},
 		rollout.Reverting: {new: exchange.ReasonVersion}, rollout.RolledBack: {new: exchange.ReasonVersion},
 	} {
 		rules := New(&orders.Table{Rollouts: []rollout.Rollout{{Service: "s", Version: "v2", Phase: phase}}}, nil)
 		is.Equal(rules.RejectReasonOf(Backend{Service: "s", Version: "v2"}), want.new)
 		is.Equal(rules.RejectReasonOf(Backend{Service: "s", Version: "v1"}), exchange.Reason(""))
 		is.Equal(rules.RejectReasonOf(Backend{Service: "t", Version: "v2"}), exchange.Reason(""))
-		is.Equal(rules.Closes(Backend{Service: "s", Version: "v1"}), want.old)
+		is.Equal(rules.Closes(Backend{Service: "s", Version: "v1"}), want.oldCloses)
 		is.True(!rules.Closes(Backend{Service: "s", Version: "v2"}))
 		is.True(!rules.Closes(Backend{Service: "t", Version: "v1"}))
 	}
