--- a/pkg/gate/gate.go
+++ b/pkg/gate/gate.go
@@ -1,8 +1,8 @@
 // Package gate implements admission control in front of the back end beside a node. All calls pass
 // the gate, which queues them and can state that a rejected call has not run. A back end is cold
-// for a while after its start, when it sustains only a low rate of calls. Orders are evacuations of
-// zones and rollouts of versions. They are part of the node's state, the configuration and endpoint
-// data that the control plane distributes.
+// for a while after its start, when it sustains only a low rate of calls. The gate also rejects
+// calls by operators' orders: evacuations of zones and rollouts of versions. They are part of the
+// node's state, the configuration and endpoint data that the control plane distributes.
 package gate
 
 import (
@@ -144,7 +144,7 @@
 	dialer := net.Dialer{Timeout: dialTimeout, Control: wire.SetUserTimeout}
 	capacity := config.Link.Capacity()
 	return &Gate{config: config, inbound: newLinkScheduler(capacity, inboundShare, inboundUsableShare, config.Link.UnscheduledRate),
-		outbound: newLinkScheduler(capacity, outboundShare, outboundUsable, config.Link.UnreservedRate), transport: &http.Transport{
+		outbound: newLinkScheduler(capacity, largeResponseShare, outboundUsableShare, config.Link.UnreservedRate), transport: &http.Transport{
 			DialContext: exchange.CountWrites(dialer.DialContext), DisableCompression: true,
 			MaxIdleConnsPerHost: maxIdleConnections, IdleConnTimeout: idleTimeout,
 			ReadBufferSize: connBufferBytes, WriteBufferSize: connBufferBytes,
--- a/pkg/gate/gate_test.go
+++ b/pkg/gate/gate_test.go
@@ -110,7 +110,7 @@
 	for calls.Load() < 2 {
 		time.Sleep(time.Millisecond)
 	}
-	third := do(g, newCall(t, "GET", "c")) // it may not wait
+	third := do(g, newCall(t, "GET", "c")) // it is not allowed to wait
 	is.Equal(third.StatusCode, http.StatusServiceUnavailable)
 	is.Equal(third.Header.Get(exchange.HeaderOutcome), string(exchange.NotRun))
 	is.Equal(reasonOf(third), exchange.ReasonFull)
--- a/pkg/gate/outbound.go
+++ b/pkg/gate/outbound.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// outboundShare is the maximum share of the link's rate for large responses, so that other
+	// largeResponseShare is the maximum share of the link's rate for large responses, so that other
 	// outbound traffic such as rejections, calls, small responses and reports to the control plane
 	// is not delayed.
-	outboundShare = 0.85
-	// outboundUsable is the share of the link's rate that all outbound traffic may use. It exceeds
+	largeResponseShare = 0.85
+	// outboundUsableShare is the share of the link's rate that all outbound traffic may use. It exceeds
 	// inboundUsableShare, since the node paces what it sends.
-	outboundUsable = 0.95
+	outboundUsableShare = 0.95
 	// minReportedLinkWait is the shortest link wait that load reports mention, about the transfer
 	// time of one large response.
 	minReportedLinkWait = 50 * time.Millisecond
@@ -119,12 +119,12 @@
 	if response.ContentLength < exchange.LargeResponse {
 		return
 	}
-	paced := g.config.ResponsePacer.WrapResponse(response.Body, int(response.ContentLength), g.transferTime(r, held))
+	paced := g.config.ResponsePacer.WrapResponse(response.Body, int(response.ContentLength), g.maxTransferTime(r, held))
 	response.Body = g.config.Link.WrapResponse(paced, true)
 }
 
-// transferTime returns how long the transfer of a large response to another node may take.
-func (g *Gate) transferTime(r *http.Request, held time.Duration) time.Duration {
+// maxTransferTime returns how long the transfer of a large response to another node may take.
+func (g *Gate) maxTransferTime(r *http.Request, held time.Duration) time.Duration {
 	// With now as 0, the deadline is the time that was left when the call arrived.
 	req := g.readRequest(r.Header, 0)
 	return max(0, req.targetLeft-held, (req.deadline-held)/transferTimeDivisor)
--- a/pkg/gate/outbound_test.go
+++ b/pkg/gate/outbound_test.go
@@ -198,7 +198,7 @@
 func TestCanceledReservationIsReturnedInFull(t *testing.T) {
 	is := is.New(t)
 	otherTraffic := 0.0
-	l := newLinkScheduler(1e6, outboundShare, outboundUsable, func(time.Duration) float64 { return otherTraffic })
+	l := newLinkScheduler(1e6, largeResponseShare, outboundUsableShare, func(time.Duration) float64 { return otherTraffic })
 	_, inTime := l.reserve(0, 400_000, 0)
 	is.True(inTime)
 	first := l.wait(0)
@@ -216,7 +216,7 @@
 	is := is.New(t)
 	r := newCall(t, "GET", "x", exchange.HeaderTarget, "1000", "Left-Ms", "2100")
 	g := newGateWithLink(t, 1)
-	is.Equal(g.transferTime(r, 0), time.Second)
-	is.Equal(g.transferTime(r, 600*time.Millisecond), 500*time.Millisecond) // a third of the time left
-	is.Equal(g.transferTime(r, 5*time.Second), time.Duration(0))
+	is.Equal(g.maxTransferTime(r, 0), time.Second)
+	is.Equal(g.maxTransferTime(r, 600*time.Millisecond), 500*time.Millisecond) // a third of the time left
+	is.Equal(g.maxTransferTime(r, 5*time.Second), time.Duration(0))
 }
--- a/pkg/gate/transit_test.go
+++ b/pkg/gate/transit_test.go
@@ -23,7 +23,7 @@
 	}
 	const ms = time.Millisecond
 	is.Equal(delay(1, 1000*ms, 70_000*ms), 0*ms)       // the first call of a process has no delay
-	is.Equal(delay(2, 1000*ms, 0), 0*ms)               // nor has that of a process that started later
+	is.Equal(delay(2, 1000*ms, 0), 0*ms)               // nor has the first call of another process, started later
 	is.Equal(delay(1, 1515*ms, 70_500*ms), 0*ms)       // within the tolerance
 	is.Equal(delay(1, 3000*ms, 70_600*ms), 1400*ms)    // delayed
 	is.Equal(delay(2, 3000*ms, 2000*ms), 0*ms)         // another process is not
--- a/pkg/gate/version.go
+++ b/pkg/gate/version.go
@@ -19,9 +19,9 @@
 type rolloutState struct {
 	// rollouts are the rollouts in the node's state.
 	rollouts []rollout.Rollout
-	// processRun is a random ID drawn for each back end. Grants apply to one ID, since the gate
+	// runID is a random ID drawn for each back end. Grants apply to one ID, since the gate
 	// does not know earlier admissions.
-	processRun uint64
+	runID uint64
 	// current is the newest rollout of the back end's service; known is false if there is none.
 	current rollout.Rollout
 	known   bool
@@ -39,10 +39,10 @@
 	g.applyRollout()
 }
 
-// resetRollout discards the rollout state of the previous back end and draws a new processRun ID.
+// resetRollout discards the rollout state of the previous back end and draws a new runID.
 // g.mu must be held.
 func (g *Gate) resetRollout() {
-	g.rollout = rolloutState{rollouts: g.rollout.rollouts, processRun: rand.Uint64()}
+	g.rollout = rolloutState{rollouts: g.rollout.rollouts, runID: rand.Uint64()}
 	g.applyRollout()
 }
 
@@ -74,7 +74,7 @@
 	if !s.known || s.unaffected {
 		return ""
 	}
-	state := rollout.Gate{Version: g.backend.Version, Life: s.processRun, Admitted: s.tally.Admitted(), SinceConfirmed: g.confirmationAge(now), Cold: g.cold.remaining(now) > 0}
+	state := rollout.Gate{Version: g.backend.Version, Life: s.runID, Admitted: s.tally.Admitted(), SinceConfirmed: g.confirmationAge(now), Cold: g.cold.remaining(now) > 0}
 	if state.Admits(s.current) {
 		return ""
 	}
@@ -175,7 +175,7 @@
 	}
 	now := g.config.Now()
 	report := RolloutReport{AtWork: g.running, Report: rollout.Report{
-		Service: g.backend.Service, Number: s.current.Number, Version: g.backend.Version, Instance: g.backend.ID, Life: s.processRun,
+		Service: g.backend.Service, Number: s.current.Number, Version: g.backend.Version, Instance: g.backend.ID, Life: s.runID,
 		Zone: g.backend.Zone,
 		Cold: g.cold.remaining(now) > 0,
 	}}
--- a/pkg/gate/version_test.go
+++ b/pkg/gate/version_test.go
@@ -17,19 +17,19 @@
 // confirmation.
 type versionedGate struct {
 	*Gate
-	mu        sync.Mutex
-	confirmed time.Duration
+	mu          sync.Mutex
+	confirmedAt time.Duration
 }
 
 func newVersionedGate(address, version string) *versionedGate {
 	started := time.Now()
 	v := &versionedGate{}
 	now := func() time.Duration { return time.Since(started) + time.Hour }
-	v.confirmed = now()
+	v.confirmedAt = now()
 	v.Gate = New(Config{Headers: testHeaders, Now: now, ConfirmedAt: func() (time.Duration, bool) {
 		v.mu.Lock()
 		defer v.mu.Unlock()
-		return v.confirmed, true
+		return v.confirmedAt, true
 	}})
 	v.SetBackend(Backend{ID: "b1", Service: "s", Address: address, Capacity: 4, Version: version})
 	return v
@@ -39,12 +39,12 @@
 func (v *versionedGate) setConfirmationAge(d time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.confirmed = v.config.Now() - d
+	v.confirmedAt = v.config.Now() - d
 }
 
 // runningRollout returns a running rollout that grants a process run calls up to a total.
-func runningRollout(processRun, upto uint64) []rollout.Rollout {
-	return []rollout.Rollout{{Service: "s", Version: "v2", Number: 1, Phase: rollout.Running, Share: 30, Grants: []rollout.Grant{{Life: processRun, Upto: upto}}}}
+func runningRollout(runID, upto uint64) []rollout.Rollout {
+	return []rollout.Rollout{{Service: "s", Version: "v2", Number: 1, Phase: rollout.Running, Share: 30, Grants: []rollout.Grant{{Life: runID, Upto: upto}}}}
 }
 
 func rolloutInPhase(phase rollout.Phase) []rollout.Rollout {
@@ -76,22 +76,22 @@
 	is := is.New(t)
 	v := newVersionedGate(respondingBackend(t), "v2")
 	is.Equal(v.call(t), exchange.Reason("")) // no rollout
-	v.SetRollouts(runningRollout(v.rollout.processRun, 0))
+	v.SetRollouts(runningRollout(v.rollout.runID, 0))
 	is.Equal(v.call(t), exchange.ReasonVersion)
-	v.SetRollouts(runningRollout(v.rollout.processRun, 2))
+	v.SetRollouts(runningRollout(v.rollout.runID, 2))
 	is.Equal(v.call(t), exchange.Reason(""))
 	is.Equal(v.call(t, exchange.HeaderRetry, "1"), exchange.Reason("")) // retries count too
 	is.Equal(v.call(t), exchange.ReasonVersion)
-	v.SetRollouts(runningRollout(v.rollout.processRun, 3))
+	v.SetRollouts(runningRollout(v.rollout.runID, 3))
 	is.Equal(v.call(t), exchange.Reason(""))
 	report, active := v.RolloutReport()
 	is.True(active)
 	is.Equal(report.Admitted, uint64(3))
 	is.Equal(report.Repeats, uint64(1))
-	is.Equal(report.Life, v.rollout.processRun)
+	is.Equal(report.Life, v.rollout.runID)
 
 	// Another rollout starts with new counts, and previous grants are void.
-	next := runningRollout(v.rollout.processRun, 0)
+	next := runningRollout(v.rollout.runID, 0)
 	next[0].Number = 2
 	v.SetRollouts(next)
 	is.Equal(v.call(t), exchange.ReasonVersion)
@@ -103,18 +103,18 @@
 	is := is.New(t)
 	address := respondingBackend(t)
 	v := newVersionedGate(address, "v2")
-	processRun := v.rollout.processRun
-	v.SetRollouts(runningRollout(processRun, 5))
+	runID := v.rollout.runID
+	v.SetRollouts(runningRollout(runID, 5))
 	is.Equal(v.call(t), exchange.Reason(""))
 	v.SetBackend(Backend{ID: "b2", Service: "s", Address: address, Capacity: 4, Version: "v2"})
-	is.True(v.rollout.processRun != processRun)
+	is.True(v.rollout.runID != runID)
 	is.Equal(v.call(t), exchange.ReasonVersion)
 }
 
 func TestDisconnectedGateRejectsCallsToTheNewVersion(t *testing.T) {
 	is := is.New(t)
 	v := newVersionedGate(respondingBackend(t), "v2")
-	v.SetRollouts(runningRollout(v.rollout.processRun, 5))
+	v.SetRollouts(runningRollout(v.rollout.runID, 5))
 	v.setConfirmationAge(rollout.LeaseTime - 200*time.Millisecond)
 	is.Equal(v.call(t), exchange.Reason(""))
 	v.setConfirmationAge(rollout.LeaseTime + time.Second)
@@ -225,7 +225,7 @@
 	is := is.New(t)
 	address, release, calls := blockingBackend(t)
 	v := newVersionedGate(address, "v2")
-	v.SetRollouts(runningRollout(v.rollout.processRun, 4))
+	v.SetRollouts(runningRollout(v.rollout.runID, 4))
 	var group sync.WaitGroup
 	for range 4 {
 		group.Go(func() { v.call(t) })
@@ -233,7 +233,7 @@
 	for calls.Load() < 4 {
 		time.Sleep(time.Millisecond)
 	}
-	v.SetRollouts(runningRollout(v.rollout.processRun, 5))
+	v.SetRollouts(runningRollout(v.rollout.runID, 5))
 	reasons := make(chan exchange.Reason, 2)
 	for range 2 {
 		group.Go(func() { reasons <- v.call(t, exchange.HeaderWait, "1500") })
@@ -278,7 +278,7 @@
 	is := is.New(t)
 	v := newVersionedGate(respondingBackend(t), "v2")
 	v.SetColdBounds(ColdBounds{Start: time.Hour, Rate: 1000})
-	v.SetRollouts(runningRollout(v.rollout.processRun, 5))
+	v.SetRollouts(runningRollout(v.rollout.runID, 5))
 	is.Equal(v.call(t, exchange.HeaderRoute, "r"), exchange.Reason(""))
 	report, _ := v.RolloutReport()
 	is.True(report.Cold)
