--- a/pkg/forward/caller_timeouts.go
+++ b/pkg/forward/caller_timeouts.go
@@ -35,7 +35,8 @@
 
 func newCallerTimeouts() *callerTimeouts { return &callerTimeouts{routes: map[string]*routeTimeouts{}} }
 
-// age records a caller's remaining timeout and returns the estimated time since its first attempt.
+// age records a caller's remaining timeout as a sample and returns the estimated time since its first
+// attempt.
 func (t *callerTimeouts) age(route string, left time.Duration) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/pkg/forward/cold_test.go
+++ b/pkg/forward/cold_test.go
@@ -78,10 +78,10 @@
 type fragileBackend struct {
 	coldUntil time.Time
 
-	mu       sync.Mutex
-	calls    []time.Time
-	failed   bool
-	coldSeen int
+	mu        sync.Mutex
+	callTimes []time.Time
+	failed    bool
+	coldSeen  int
 }
 
 const (
@@ -100,8 +100,8 @@
 	defer f.mu.Unlock()
 	if now.Before(f.coldUntil) {
 		f.coldSeen++
-		f.calls = append(slices.DeleteFunc(f.calls, func(at time.Time) bool { return now.Sub(at) > time.Second }), now)
-		f.failed = f.failed || len(f.calls) > failsAbove
+		f.callTimes = append(slices.DeleteFunc(f.callTimes, func(at time.Time) bool { return now.Sub(at) > time.Second }), now)
+		f.failed = f.failed || len(f.callTimes) > failsAbove
 	}
 	if f.failed {
 		w.WriteHeader(http.StatusInternalServerError)
--- a/pkg/forward/gate_choice.go
+++ b/pkg/forward/gate_choice.go
@@ -42,9 +42,9 @@
 	largeBodyBytes         = 16 << 10
 	localServiceTimesLarge = 1.5
 	localWaitRatioLarge    = 0.8
-	// reservedServiceTimes are subtracted from the time left until the target latency to limit a call's
-	// wait at a gate, since a longer wait would also delay the calls behind it. A call may always wait
-	// for its target latency divided by minWaitDivisor, within the deadline.
+	// reservedServiceTimes is the number of mean service times kept free when a call's wait at a gate is
+	// limited to the time left until its target latency; a longer wait would also delay the calls behind
+	// it. The limit is at least the target latency divided by minWaitDivisor, within the deadline.
 	reservedServiceTimes = 1.4
 	minWaitDivisor       = 10
 	// shortWorkDivisor divides the mean service time: calls shorter than that are exempt from the limit
@@ -57,7 +57,7 @@
 	bodyTimeDivisor = 3
 )
 
-// errGatesFull reports that several gates in a row were full.
+// errGatesFull means that at least one gate was full and no other may be attempted.
 var errGatesFull = errors.New("the back ends are full")
 
 // chooseGate picks the next gate and how long the call may wait there.
--- a/pkg/forward/handler.go
+++ b/pkg/forward/handler.go
@@ -34,7 +34,7 @@
 	dialTimeout     = time.Second
 	idleTimeout     = 30 * time.Second
 	// saturatedRetry is the Retry-After if all back ends are at their limit, unavailableRetry that of
-	// rejections without an estimate.
+	// other rejections for which no better delay is known.
 	saturatedRetry   = time.Second
 	unavailableRetry = 2 * time.Second
 	// unconfirmedRetry is the Retry-After of a node whose configuration is unconfirmed; it covers a
@@ -283,7 +283,8 @@
 	writer  http.ResponseWriter
 	request *http.Request
 	route   routing.Route
-	// tenant is nil for a call without one; quotaCharged is set once the call was counted by its quota.
+	// tenant is nil for a call without one; quotaCharged is set once the call was counted
+	// against the tenant's limit.
 	tenant        *routing.Tenant
 	credential    credential
 	quotaCharged  bool
--- a/pkg/forward/handler_test.go
+++ b/pkg/forward/handler_test.go
@@ -21,7 +21,8 @@
 	"github.com/matryer/is"
 )
 
-// startNode serves one service by the given back ends, with a plain route and a once route.
+// startNode serves one service by the given back ends, with one ordinary route and one whose calls
+// must run at most once (Route.Once).
 func startNode(t *testing.T, addresses ...string) *httptest.Server {
 	t.Helper()
 	started := time.Now()
--- a/pkg/forward/quarantine_test.go
+++ b/pkg/forward/quarantine_test.go
@@ -27,8 +27,8 @@
 	return filter
 }
 
-// A quarantined request is rejected as not run and reaches no gate. The same request with another body
-// is served, and so is a caller and service pair that got a response to it.
+// A quarantined request is rejected as not run and reaches no gate. A request with another body is
+// served, and so is the quarantined one from a caller to a service that has already responded to it.
 func TestQuarantinedRequestReachesNoGate(t *testing.T) {
 	for name, c := range map[string]struct {
 		answered []quarantine.Way
--- a/pkg/forward/rollout.go
+++ b/pkg/forward/rollout.go
@@ -92,7 +92,8 @@
 	retrying bool
 }
 
-// drawRollout sets the rollout that applies to the call and draws the number that selects its side.
+// drawRollout sets the rollout that applies to the call and draws the random number that
+// decides whether the call goes to the old or the new version.
 func (g *gatedCall) drawRollout(now time.Duration) {
 	g.draw.rollout = g.service.tracker.active(now)
 	if g.draw.rollout != nil {
--- a/pkg/forward/rollout_test.go
+++ b/pkg/forward/rollout_test.go
@@ -23,10 +23,10 @@
 type versionGate struct {
 	*httptest.Server
 	received, retries atomic.Int64
-	// rejects is the reason of rejections, empty for none; status is the back end's response.
-	rejects exchange.Reason
-	status  int
-	header  http.Header
+	// rejectReason is the reason of rejections, empty for none; status is the back end's response.
+	rejectReason exchange.Reason
+	status       int
+	header       http.Header
 }
 
 func startVersionGate(t *testing.T) *versionGate {
@@ -40,9 +40,9 @@
 		g.header = r.Header.Clone()
 		w.Header().Set("Call-Id", r.Header.Get("Call-Id"))
 		w.Header().Set("Content-Length", "0")
-		if g.rejects != "" {
+		if g.rejectReason != "" {
 			w.Header().Set(exchange.HeaderOutcome, string(exchange.NotRun))
-			w.Header().Set(exchange.HeaderReason, string(g.rejects))
+			w.Header().Set(exchange.HeaderReason, string(g.rejectReason))
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
@@ -153,10 +153,10 @@
 	is := is.New(t)
 	n := startVersionNode(t)
 	n.setRollout(rolloutAt(rollout.Running, rollout.FullShare))
-	n.new.rejects = exchange.ReasonVersion
+	n.new.rejectReason = exchange.ReasonVersion
 	_, _, succeeded := n.callGates(t, 20)
 	is.Equal(succeeded, 20)
-	n.new.rejects, n.old.rejects = "", exchange.ReasonVersion
+	n.new.rejectReason, n.old.rejectReason = "", exchange.ReasonVersion
 	n.setRollout(rolloutAt(rollout.Running, 0))
 	_, _, succeeded = n.callGates(t, 20)
 	is.Equal(succeeded, 20)
--- a/pkg/forward/tenants_test.go
+++ b/pkg/forward/tenants_test.go
@@ -105,7 +105,7 @@
 	calls  atomic.Int64
 }
 
-func (s *gateRecorder) gate(t *testing.T) string {
+func (s *gateRecorder) startGate(t *testing.T) string {
 	address, _ := fakeGate(t, func(w http.ResponseWriter, r *http.Request) {
 		header := r.Header.Clone()
 		body, _ := io.ReadAll(r.Body)
@@ -130,7 +130,7 @@
 func TestKeysIdentifyTenants(t *testing.T) {
 	is := is.New(t)
 	var gate gateRecorder
-	n := newTenantNode(t, nil, gate.gate(t))
+	n := newTenantNode(t, nil, gate.startGate(t))
 	for _, c := range []struct {
 		path   string
 		header []string
@@ -168,7 +168,7 @@
 func TestCallWithTwoKeysIsUnauthorized(t *testing.T) {
 	is := is.New(t)
 	var gate gateRecorder
-	n := newTenantNode(t, nil, gate.gate(t))
+	n := newTenantNode(t, nil, gate.startGate(t))
 	request, err := http.NewRequest(http.MethodGet, n.URL+"/safe/x", http.NoBody)
 	is.NoErr(err)
 	request.Host = "shop.example"
@@ -191,7 +191,7 @@
 		w.Header().Set("Call-Id", r.Header.Get("Call-Id"))
 		w.WriteHeader(http.StatusInternalServerError)
 	})
-	n := newTenantNode(t, nil, gate.gate(t))
+	n := newTenantNode(t, nil, gate.startGate(t))
 	body := strings.Repeat("b", 50_000)
 	is.Equal(n.call(t, "POST", "/unsafe/x", body, "Api-Key", keyOne).StatusCode, http.StatusOK)
 	is.Equal(*gate.body.Load(), body)
@@ -243,7 +243,7 @@
 				if strict {
 					cfg.KeysStaleLimit = 5 * time.Second
 				}
-			}, gate.gate(t))
+			}, gate.startGate(t))
 			n.confirmedAt.Store(int64(3 * time.Second))
 			response := n.call(t, "GET", "/safe/x", "", "Api-Key", "unknown")
 			is.Equal(response.StatusCode, http.StatusServiceUnavailable)
@@ -266,7 +266,7 @@
 func TestAddressDoesNotReplaceAKey(t *testing.T) {
 	is := is.New(t)
 	var gate gateRecorder
-	n := newTenantNode(t, func(cfg *Config) { cfg.BackendHost = netip.MustParseAddr("127.0.0.1") }, gate.gate(t))
+	n := newTenantNode(t, func(cfg *Config) { cfg.BackendHost = netip.MustParseAddr("127.0.0.1") }, gate.startGate(t))
 	is.Equal(n.call(t, "GET", "/safe/x", "", "Whose", "one").StatusCode, http.StatusUnauthorized)
 	is.Equal(n.call(t, "GET", "/public/x", "", "Whose", "one").StatusCode, http.StatusOK)
 	is.Equal(gate.header.Load().Get("Whose"), "")
@@ -276,7 +276,7 @@
 func TestTenantPriorityAndRegionsApplyToCalls(t *testing.T) {
 	is := is.New(t)
 	var gate gateRecorder
-	n := newTenantNode(t, nil, gate.gate(t))
+	n := newTenantNode(t, nil, gate.startGate(t))
 	n.call(t, "GET", "/safe/x", "", "Api-Key", keyOne)
 	is.Equal(gate.header.Load().Get(exchange.HeaderPriority), "3")
 	n.call(t, "GET", "/safe/x", "", "Api-Key", keyTwo)
@@ -297,7 +297,7 @@
 func TestQuotaIsChargedOncePerCall(t *testing.T) {
 	is := is.New(t)
 	var gate gateRecorder
-	n := newTenantNode(t, nil, gate.gate(t))
+	n := newTenantNode(t, nil, gate.startGate(t))
 	n.quotas.left.Store(1)
 	is.Equal(n.call(t, "GET", "/safe/x", "", "Api-Key", keyTwo).StatusCode, http.StatusOK)
 	is.Equal(n.quotas.left.Load(), int64(0))
@@ -325,7 +325,7 @@
 func TestKeysAreForwardedWithoutTenants(t *testing.T) {
 	is := is.New(t)
 	var gate gateRecorder
-	n := newTenantNode(t, nil, gate.gate(t))
+	n := newTenantNode(t, nil, gate.startGate(t))
 	n.setTenants(nil)
 	is.Equal(n.call(t, "GET", "/safe/x", "", "Api-Key", "mine", "Whose", "me").StatusCode, http.StatusOK)
 	is.Equal(gate.header.Load().Get("Api-Key"), "mine")
