--- a/pkg/balancer/gated.go
+++ b/pkg/balancer/gated.go
@@ -18,8 +18,8 @@
 	scoreJitter = 0.15
 	// reportMaxAge is the age above which the load in a report is ignored.
 	reportMaxAge = 500 * time.Millisecond
-	// failureCost is the score penalty for a failure rate of 1, in service times of the fastest back end.
-	// A repeatable call costs one more attempt; any other is lost.
+	// failureCost and failureCostRepeatable are the score penalties for a failure rate of 1, in service
+	// times of the fastest back end. A failed repeatable call costs one more attempt; any other is lost.
 	failureCost           = 20.0
 	failureCostRepeatable = 6.0
 	// failureHalfLife is the half-life of a reported failure rate, so that a back end without calls is
@@ -154,7 +154,8 @@
 	return nil
 }
 
-// preferredAsOwnGate reports whether the back end beside the node is fast and reliable enough to be preferred.
+// preferredAsOwnGate reports whether the back end beside the node is fast and reliable enough, and would
+// admit the call without delay even if cold, so that it is preferred.
 func (e *endpoint) preferredAsOwnGate(now, maxService time.Duration) bool {
 	service := time.Duration(e.serviceFactor(now) * float64(e.gate.report.ServiceTime))
 	return service <= maxService && e.failureRate(now) <= maxOwnGateFailureRate && e.coldWait(now) == 0
--- a/pkg/balancer/pool.go
+++ b/pkg/balancer/pool.go
@@ -58,9 +58,9 @@
 
 	mu        sync.Mutex
 	endpoints []*endpoint
-	// departed maps IDs to the highest leaving incarnation, so that an outdated endpoint list cannot
+	// leavingIncarnations maps IDs to the highest leaving incarnation, so that an outdated endpoint list cannot
 	// restore one.
-	departed map[string]uint64
+	leavingIncarnations map[string]uint64
 	// changed is closed and replaced when waiting calls should retry.
 	changed chan struct{}
 	waiting int
@@ -68,7 +68,7 @@
 
 // NewPool returns an empty pool.
 func NewPool(config Config) *Pool {
-	return &Pool{config: config, departed: map[string]uint64{}, changed: make(chan struct{})}
+	return &Pool{config: config, leavingIncarnations: map[string]uint64{}, changed: make(chan struct{})}
 }
 
 // Update applies a service's definition. Back ends that remain in the list keep their state.
@@ -103,7 +103,7 @@
 
 func (p *Pool) newEndpoint(now time.Duration, target routing.Endpoint) *endpoint {
 	e := &endpoint{target: target, addedAt: now, inOtherZone: target.Zone != p.config.Zone, inOtherRegion: p.inOtherRegion(target)}
-	if incarnation, known := p.departed[target.ID]; known && target.Incarnation <= incarnation {
+	if incarnation, known := p.leavingIncarnations[target.ID]; known && target.Incarnation <= incarnation {
 		e.leaving = true
 	}
 	return e
@@ -168,7 +168,7 @@
 // markLeaving excludes an endpoint for good and records its incarnation; the mutex is held.
 func (p *Pool) markLeaving(e *endpoint) {
 	e.leaving = true
-	p.departed[e.target.ID] = max(p.departed[e.target.ID], e.target.Incarnation)
+	p.leavingIncarnations[e.target.ID] = max(p.leavingIncarnations[e.target.ID], e.target.Incarnation)
 }
 
 // Ticket is the permission to send one call to one back end. Done must be called exactly once.
