--- a/pkg/link/delay.go
+++ b/pkg/link/delay.go
@@ -34,7 +34,7 @@
 	Full
 )
 
-// String returns the level in lower case.
+// String returns the level in lower case, "crowded" for Congested.
 func (c Congestion) String() string { return [...]string{"clear", "crowded", "full"}[c] }
 
 // Delay measures the queueing delay of a shared path of unknown capacity: the rise of the smoothed round-trip
--- a/pkg/link/delay_test.go
+++ b/pkg/link/delay_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// The level must follow a sustained rise of the delay, and fall once the rise ends or is old.
+// The level must follow a sustained rise of the delay, and fall once the rise ends or no recent measurement exists.
 func TestCongestionFollowsQueueingDelay(t *testing.T) {
 	is := is.New(t)
 	var d Delay
--- a/pkg/link/meter.go
+++ b/pkg/link/meter.go
@@ -45,14 +45,15 @@
 	// capacity is the link's capacity in bytes per second in each direction, zero if unknown.
 	capacity       float64
 	received, sent [peerCount]atomic.Int64
-	// scheduledBodies counts the received bytes of large request bodies whose transfer the node's gate scheduled.
-	scheduledBodies atomic.Int64
+	// scheduledBodyBytes counts the received bytes of large request bodies whose transfer the node's gate scheduled.
+	scheduledBodyBytes atomic.Int64
 	// largeResponses counts the sent bytes of large responses, reserved those for which the node's gate
 	// had reserved the link.
 	largeResponses, reserved atomic.Int64
 
 	mu sync.Mutex
-	// unscheduledIn is the rate of UnaskedRate, unreservedOut that of UnbookedRate, unpacedOut that of UnpacedRate.
+	// unscheduledIn is the rate of UnscheduledRate, unreservedOut that of UnreservedRate, unpacedOut that of
+	// UnpacedRate.
 	in, out, unscheduledIn, unreservedOut, unpacedOut rate
 }
 
@@ -77,7 +78,7 @@
 // node's gate scheduled.
 func (m *Meter) ScheduledBodyReceived(size int64) {
 	if m != nil {
-		m.scheduledBodies.Add(size)
+		m.scheduledBodyBytes.Add(size)
 	}
 }
 
@@ -89,7 +90,7 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.unscheduledIn.sample(now, sum(&m.received)-m.scheduledBodies.Load())
+	return m.unscheduledIn.sample(now, sum(&m.received)-m.scheduledBodyBytes.Load())
 }
 
 // WrapResponse wraps the body of a large response to count its bytes as they are sent; reserved is set if the node's
@@ -128,7 +129,7 @@
 
 // ScheduledBodyBytesReceived returns the bytes received of large request bodies whose transfer the node's gate
 // scheduled.
-func (m *Meter) ScheduledBodyBytesReceived() int64 { return m.scheduledBodies.Load() }
+func (m *Meter) ScheduledBodyBytesReceived() int64 { return m.scheduledBodyBytes.Load() }
 
 // UnreservedRate returns the send rate in bytes per second without large responses for which the gate reserved
 // the link. The current time now is on the process's monotonic clock.
