--- a/pkg/pipeline/body.go
+++ b/pkg/pipeline/body.go
@@ -15,7 +15,8 @@
 	maxBufferedBody = 16 << 10
 )
 
-// bufferBody reads a short body into memory; it returns false if the body is long or of unknown length.
+// bufferBody reads a short body into memory; it returns false if the body is long or of unknown
+// length, or if the caller waits for 100 Continue.
 func bufferBody(r *http.Request) (buffered bool, err error) {
 	if r.ContentLength < 0 || r.ContentLength > maxBufferedBody || expectsContinue(r) {
 		return false, nil
--- a/pkg/pipeline/body_test.go
+++ b/pkg/pipeline/body_test.go
@@ -78,16 +78,16 @@
 	}))
 	cfg.HeaderTimeout = 400 * time.Millisecond
 	_, address := serve(t, cfg)
-	const pieces, piece = 6, 5 << 10
-	head := fmt.Sprintf("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n", pieces*piece)
+	const pieceCount, pieceSize = 6, 5 << 10
+	head := fmt.Sprintf("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n", pieceCount*pieceSize)
 	c := dial(t, address)
 	c.send(head)
-	for range pieces {
+	for range pieceCount {
 		time.Sleep(cfg.HeaderTimeout / 4)
-		c.send(strings.Repeat("x", piece))
+		c.send(strings.Repeat("x", pieceSize))
 	}
 	_, body := c.readResponse()
-	is.Equal(body, fmt.Sprintf("%d <nil>", pieces*piece))
+	is.Equal(body, fmt.Sprintf("%d <nil>", pieceCount*pieceSize))
 	// A body that never arrives must not hold its connection open.
 	stuck := dial(t, address)
 	stuck.send(head)
--- a/pkg/pipeline/conn.go
+++ b/pkg/pipeline/conn.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// readBuffer is the initial size of the read buffer, in bytes; longer heads get a larger one.
-	readBuffer = 4 << 10
+	// readBufferSize is the initial size of the read buffer, in bytes; longer heads get a larger one.
+	readBufferSize = 4 << 10
 	// maxQueued bounds the requests of one connection that were read but not started.
 	maxQueued = 32
 	// lingerTime is how long a connection is still read after its sending direction was closed: closing with
@@ -49,7 +49,7 @@
 }
 
 func newConn(s *Server, rwc net.Conn) *conn {
-	c := &conn{server: s, rwc: rwc, reader: bufio.NewReaderSize(rwc, readBuffer)}
+	c := &conn{server: s, rwc: rwc, reader: bufio.NewReaderSize(rwc, readBufferSize)}
 	c.queueNotFull = sync.NewCond(&c.mu)
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	return c
--- a/pkg/pipeline/head.go
+++ b/pkg/pipeline/head.go
@@ -96,7 +96,7 @@
 // growBuffer replaces the read buffer by one that fits a head of MaxHeaderBytes.
 func (c *conn) growBuffer(buffered []byte) {
 	copied := bytes.Clone(buffered)
-	size := c.server.cfg.MaxHeaderBytes + readBuffer
+	size := c.server.cfg.MaxHeaderBytes + readBufferSize
 	c.reader = bufio.NewReaderSize(io.MultiReader(bytes.NewReader(copied), c.rwc), size)
 	_, _ = c.reader.Peek(len(copied))
 }
@@ -168,7 +168,8 @@
 	return http.StatusBadRequest
 }
 
-// errorHandler responds to a request that could not be parsed, the last one of its connection.
+// errorHandler returns a handler that responds with the error to a request that could not be parsed. No
+// further request of its connection is read.
 func errorHandler(status int, err error) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { http.Error(w, err.Error(), status) })
 }
