--- a/pkg/raft/deferral.go
+++ b/pkg/raft/deferral.go
@@ -18,7 +18,7 @@
 // recordPreVoteRequest records a pre-vote request of a preferred replica: one whose log is more
 // up to date, or equal and its ID lower.
 func (n *Node) recordPreVoteRequest(now time.Duration, m Message) {
-	if m.Term <= n.term || !n.log.upToDate(m.Index, m.LogTerm) {
+	if m.Term <= n.term || !n.log.isOtherUpToDate(m.Index, m.LogTerm) {
 		return
 	}
 	same := m.Index == n.log.lastIndex() && m.LogTerm == n.log.lastTerm()
--- a/pkg/raft/election.go
+++ b/pkg/raft/election.go
@@ -103,7 +103,7 @@
 	if !n.mayVote(now) {
 		return
 	}
-	granted := m.Term > n.term && n.log.upToDate(m.Index, m.LogTerm)
+	granted := m.Term > n.term && n.log.isOtherUpToDate(m.Index, m.LogTerm)
 	response := Message{Kind: MessagePreVoteResponse, To: m.From, Term: m.Term, Reject: !granted}
 	if !granted {
 		response.Term = n.term
@@ -113,7 +113,7 @@
 
 func (n *Node) handleVote(now time.Duration, m Message) {
 	voteAvailable := n.vote == 0 || n.vote == m.From
-	granted := voteAvailable && n.mayVote(now) && n.log.upToDate(m.Index, m.LogTerm)
+	granted := voteAvailable && n.mayVote(now) && n.log.isOtherUpToDate(m.Index, m.LogTerm)
 	if granted {
 		n.vote = m.From
 		n.resetElectionDeadline(now)
--- a/pkg/raft/log.go
+++ b/pkg/raft/log.go
@@ -79,9 +79,9 @@
 	l.persisted = min(l.persisted, index-1)
 }
 
-// upToDate reports whether a log with the given last entry is at least as up to date as this
+// isOtherUpToDate reports whether a log with the given last entry is at least as up to date as this
 // one (section 5.4.1 of the paper).
-func (l *entryLog) upToDate(lastIndex, lastTerm uint64) bool {
+func (l *entryLog) isOtherUpToDate(lastIndex, lastTerm uint64) bool {
 	if lastTerm != l.lastTerm() {
 		return lastTerm > l.lastTerm()
 	}
--- a/pkg/raft/node.go
+++ b/pkg/raft/node.go
@@ -267,8 +267,8 @@
 	return effects
 }
 
-// Persisted reports that a batch is durable. Until then the node's own copy of its entries does
-// not count.
+// Persisted tells the node that a batch is durable. Until then the node does not count its own copy
+// of the entries toward a quorum.
 func (n *Node) Persisted(effects Effects) {
 	if len(effects.Entries) == 0 {
 		return
