--- a/pkg/storage/doc.go
+++ b/pkg/storage/doc.go
@@ -18,7 +18,7 @@
 //
 // # Failures
 //
-// If Save or Checkpoint returns ErrWriteRejected, it had no effect and the caller can
-// retry. After any other error, such as that of a failed sync, it is unknown what is
+// If Save or Checkpoint returns ErrWriteRejected, it acknowledged nothing and the caller
+// can retry; after a crash, Open may recover a part of it. After any other error, such as that of a failed sync, it is unknown what is
 // durable. The process must exit; every later call returns ErrDurabilityUnknown.
 package storage
--- a/pkg/storage/storage.go
+++ b/pkg/storage/storage.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	logName      = "replica.log"
-	identityName = "identity.json"
+	logFileName      = "replica.log"
+	identityFileName = "identity.json"
 )
 
 // ErrDurabilityUnknown means that an earlier sync or log replacement failed, so that it is
@@ -19,7 +19,8 @@
 var ErrDurabilityUnknown = errors.New("storage: an earlier write failed; the process must exit")
 
 // ErrWriteRejected means that the disk rejected a write, for instance because it is full. A Save or
-// Checkpoint that returns it had no effect and can be repeated.
+// Checkpoint that returns it acknowledged nothing and can be repeated; after a crash, Open may recover
+// a part of it.
 var ErrWriteRejected = errors.New("storage: the disk rejected a write")
 
 // ErrNoState means that the folder contains no replica.
@@ -63,10 +64,10 @@
 	if err != nil {
 		return fmt.Errorf("create replica: %w", err)
 	}
-	if err := WriteFileAtomic(fsys, logName, log); err != nil {
+	if err := WriteFileAtomic(fsys, logFileName, log); err != nil {
 		return fmt.Errorf("create replica: %w: %w", ErrWriteRejected, err)
 	}
-	if err := WriteFileAtomic(fsys, identityName, content); err != nil {
+	if err := WriteFileAtomic(fsys, identityFileName, content); err != nil {
 		return fmt.Errorf("create replica: %w: %w", ErrWriteRejected, err)
 	}
 	return nil
@@ -74,7 +75,7 @@
 
 // ReadIdentity returns the identity of the replica in the folder, or ErrNoState.
 func ReadIdentity(fsys FileSystem) (Identity, error) {
-	content, err := fsys.ReadFile(identityName)
+	content, err := fsys.ReadFile(identityFileName)
 	if errors.Is(err, fs.ErrNotExist) {
 		return Identity{}, ErrNoState
 	}
@@ -95,7 +96,7 @@
 	if err != nil {
 		return nil, raft.State{}, err
 	}
-	content, err := fsys.ReadFile(logName)
+	content, err := fsys.ReadFile(logFileName)
 	if err != nil {
 		return nil, raft.State{}, fmt.Errorf("read log: %w", err)
 	}
@@ -116,7 +117,7 @@
 
 // openLog opens the log for appending and durably truncates a torn write.
 func (s *Storage) openLog(torn bool) error {
-	file, err := s.fsys.OpenAppend(logName)
+	file, err := s.fsys.OpenAppend(logFileName)
 	if err != nil {
 		return fmt.Errorf("open: %w", err)
 	}
@@ -250,7 +251,7 @@
 	if err != nil {
 		return fmt.Errorf("checkpoint: %w", err)
 	}
-	if err := writeTemporary(s.fsys, logName, content); err != nil {
+	if err := writeTemporary(s.fsys, logFileName, content); err != nil {
 		return fmt.Errorf("checkpoint: %w: %w", ErrWriteRejected, err)
 	}
 	// Until the new file is open, an error leaves it unknown which file is in use.
@@ -258,10 +259,10 @@
 	if err := s.file.Close(); err != nil {
 		return fmt.Errorf("checkpoint: close old log: %w", err)
 	}
-	if err := renameTemporary(s.fsys, logName); err != nil {
+	if err := renameTemporary(s.fsys, logFileName); err != nil {
 		return fmt.Errorf("checkpoint: %w", err)
 	}
-	file, err := s.fsys.OpenAppend(logName)
+	file, err := s.fsys.OpenAppend(logFileName)
 	if err != nil {
 		return fmt.Errorf("checkpoint: open new log: %w", err)
 	}
--- a/pkg/storage/storage_test.go
+++ b/pkg/storage/storage_test.go
@@ -55,7 +55,7 @@
 func TestOpenTruncatesTornWriteAtEveryByte(t *testing.T) {
 	is := is.New(t)
 	folder, fsys := newReplica(t)
-	path := filepath.Join(folder, logName)
+	path := filepath.Join(folder, logFileName)
 	content, err := os.ReadFile(path)
 	is.NoErr(err)
 	last := lastRecordSize()
@@ -76,7 +76,7 @@
 func TestOpenRejectsCorruptRecordBeforeValidOne(t *testing.T) {
 	is := is.New(t)
 	folder, fsys := newReplica(t)
-	path := filepath.Join(folder, logName)
+	path := filepath.Join(folder, logFileName)
 	content, err := os.ReadFile(path)
 	is.NoErr(err)
 	last := lastRecordSize()
