--- a/pkg/replica/replay.go
+++ b/pkg/replica/replay.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// replayVersionThreshold is the number of versions in the log from which a snapshot makes a
-	// restart faster than replaying them.
+	// replayVersionThreshold is the minimum number of versions in the log at which restoring a
+	// snapshot is faster than replaying them.
 	replayVersionThreshold = 24
 	// replayQuietPeriod is the minimum time since the last version before a snapshot, so that
 	// it does not delay the next version of a series. replayJitter is the range of the
