--- a/pkg/clock/clock.go
+++ b/pkg/clock/clock.go
@@ -38,9 +38,9 @@
 	// gap is how far the wall clock was ahead of the monotonic clock, relative to the start of
 	// the Clock, when the suspended time was last read.
 	gap time.Duration
-	// sinceStart is the time that the machine has been suspended since the clock was created,
-	// sinceBoot since the machine was booted.
-	sinceStart, sinceBoot time.Duration
+	// suspendedSinceStart is the time that the machine has been suspended since the clock was created,
+	// suspendedSinceBoot since the machine was booted.
+	suspendedSinceStart, suspendedSinceBoot time.Duration
 }
 
 // New returns a clock that starts now. If the kernel cannot report the suspended time, the
@@ -59,7 +59,7 @@
 	// If the suspended time cannot be read, the machine is assumed to have never been
 	// suspended.
 	if suspended, err := readSuspended(); err == nil {
-		initial.sinceBoot = suspended
+		initial.suspendedSinceBoot = suspended
 	}
 	c.correction.Store(initial)
 	return c
@@ -80,10 +80,10 @@
 	if jump := now.gap(c.start) - current.gap; jump > suspendCheckThreshold || jump < -suspendCheckThreshold {
 		current = c.updateCorrection()
 	}
-	return elapsed + current.sinceStart
+	return elapsed + current.suspendedSinceStart
 }
 
-// gap returns how far the wall clock has advanced more than the monotonic clock since start.
+// gap returns how much more the wall clock than the monotonic clock has advanced since start.
 func (r reading) gap(start reading) time.Duration {
 	return r.wall.Sub(start.wall) - (r.monotonic - start.monotonic)
 }
@@ -93,13 +93,13 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	current := c.correction.Load()
-	next := &correction{gap: c.read().gap(c.start), sinceStart: current.sinceStart, sinceBoot: current.sinceBoot}
+	next := &correction{gap: c.read().gap(c.start), suspendedSinceStart: current.suspendedSinceStart, suspendedSinceBoot: current.suspendedSinceBoot}
 	suspended, err := c.readSuspended()
 	// The kernel's clocks are not read at the same instant, so differences below a millisecond
 	// are ignored.
-	if err == nil && suspended-current.sinceBoot >= time.Millisecond {
-		next.sinceStart += suspended - current.sinceBoot
-		next.sinceBoot = suspended
+	if err == nil && suspended-current.suspendedSinceBoot >= time.Millisecond {
+		next.suspendedSinceStart += suspended - current.suspendedSinceBoot
+		next.suspendedSinceBoot = suspended
 	}
 	c.correction.Store(next)
 	return next
