--- a/pkg/bench/experiment/workload.go
+++ b/pkg/bench/experiment/workload.go
@@ -135,8 +135,8 @@
 	return w.text(w.timeout, w.secret)
 }
 
-// versionChange returns a change that matches once a version, requested at the given time,
-// is in force.
+// versionChange returns the change to a version requested at the given time. A state includes it once that
+// version, or a later one, is in force.
 func versionChange(version uint64, at time.Time) *convergence.Change {
 	return &convergence.Change{
 		Name: fmt.Sprintf("version %d", version), At: at,
--- a/pkg/bench/faultnet/faultnet.go
+++ b/pkg/bench/faultnet/faultnet.go
@@ -45,7 +45,7 @@
 	return func(name string) bool { return !match(name) }
 }
 
-// Directions of a link, in the terms of toxiproxy.
+// These constants are toxiproxy's names of a link's directions.
 const (
 	clientToServer = "upstream"
 	serverToClient = "downstream"
@@ -180,7 +180,7 @@
 	return nil
 }
 
-// Heal removes all faults except those of Delay. Connections on links that were cut are
+// Heal removes all faults except those of DelayPermanently. Connections on links that were cut are
 // closed.
 func (n *Network) Heal() error {
 	n.mu.Lock()
--- a/pkg/bench/fleet/process.go
+++ b/pkg/bench/fleet/process.go
@@ -25,7 +25,7 @@
 	mu      sync.Mutex
 	command *exec.Cmd
 	done    chan struct{}
-	err     error
+	exitErr error
 }
 
 // NewProcess returns a process that is not started yet.
@@ -55,7 +55,7 @@
 	go func(done chan struct{}) {
 		err := command.Wait()
 		p.mu.Lock()
-		p.err = err
+		p.exitErr = err
 		p.mu.Unlock()
 		close(done)
 	}(p.done)
@@ -111,7 +111,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.err
+	return p.exitErr
 }
 
 // Running reports whether the process was started and has not exited; a frozen process is
@@ -131,7 +131,8 @@
 	}
 }
 
-// Port range below the usual ephemeral ports, to avoid conflicts with outgoing connections.
+// firstPort and lastPort bound the ports used. They are below the usual ephemeral ports, to avoid conflicts with
+// outgoing connections.
 const (
 	firstPort = 12000
 	lastPort  = 31000
--- a/pkg/bench/hollow/node.go
+++ b/pkg/bench/hollow/node.go
@@ -65,7 +65,7 @@
 func (n *Node) Start() error {
 	runClock := clock.New()
 	store, err := proxy.NewConfigStore(proxy.StoreConfig{
-		Group: n.Group, Verifier: n.config.Verifier, OnActivate: n.onInForce,
+		Group: n.Group, Verifier: n.config.Verifier, OnActivate: n.onActivate,
 		OnFailure: func(error) {},
 	})
 	if err != nil {
@@ -99,7 +99,7 @@
 	return nil
 }
 
-func (n *Node) onInForce(state *distribution.State) {
+func (n *Node) onActivate(state *distribution.State) {
 	n.mu.Lock()
 	n.serving = true
 	n.mu.Unlock()
