--- a/pkg/sim/cluster.go
+++ b/pkg/sim/cluster.go
@@ -17,7 +17,7 @@
 
 const clusterID = "simulated"
 
-// Sizes of a simulated system.
+// These constants set the sizes of a simulated system and the names of its control replicas.
 const (
 	// initialControls is the number of control replicas that create the cluster.
 	initialControls = 3
@@ -41,13 +41,13 @@
 	expanded        bool
 	controlsCreated int
 	// retired holds the replicas whose machines were replaced by other machines.
-	retired  []*control
-	relays   []*relay
-	nodes    []*node
-	backends *backendSet
-	platform *simPlatform
-	verifier *bundle.Verifier
-	key      ed25519.PrivateKey
+	retired     []*control
+	relays      []*relay
+	nodes       []*node
+	backends    *backendSet
+	platform    *simPlatform
+	verifier    *bundle.Verifier
+	approvalKey ed25519.PrivateKey
 
 	operators []*operatorClient
 	// healed is set once fault injection has ended.
@@ -57,8 +57,8 @@
 
 func newCluster(sim *simulation, zones []string, zoneLatency time.Duration, controls int) (*cluster, error) {
 	c := &cluster{simulation: sim, network: newNetwork(sim, zoneLatency), zones: zones, observations: newObservations()}
-	c.key = ed25519.NewKeyFromSeed([]byte(strings.Repeat("k", ed25519.SeedSize)))
-	public := base64.StdEncoding.EncodeToString(c.key.Public().(ed25519.PublicKey))
+	c.approvalKey = ed25519.NewKeyFromSeed([]byte(strings.Repeat("k", ed25519.SeedSize)))
+	public := base64.StdEncoding.EncodeToString(c.approvalKey.Public().(ed25519.PublicKey))
 	var err error
 	if c.verifier, err = bundle.NewVerifier(clusterID, []string{public}); err != nil {
 		return nil, err
--- a/pkg/sim/linearizable.go
+++ b/pkg/sim/linearizable.go
@@ -101,7 +101,7 @@
 	return []any{next}
 }
 
-// linearizabilityLimit bounds the search in real time.
+// linearizabilityLimit bounds the real time that the linearizability check may take.
 const linearizabilityLimit = 5 * time.Second
 
 // checkLinearizability checks the history of the operators' calls.
--- a/pkg/sim/operator.go
+++ b/pkg/sim/operator.go
@@ -152,7 +152,7 @@
 }
 
 func (o *operatorClient) approve(manifest bundle.Manifest, done func(approved bool)) {
-	approval := bundle.Sign(o.cluster.key, clusterID, manifest)
+	approval := bundle.Sign(o.cluster.approvalKey, clusterID, manifest)
 	command := constantCommand(catalog.Command{OperationID: o.nextOperationID(), Approve: &catalog.Approve{Version: manifest.Version, Approval: approval}})
 	o.command(command, func(result catalog.Result, ok bool) { done(ok && result.Error == nil) })
 }
