--- a/test/integration/control_test.go
+++ b/test/integration/control_test.go
@@ -182,8 +182,8 @@
 		addresses = append(addresses, address)
 	}
 	stop := make(chan struct{})
-	var dropping sync.WaitGroup
-	dropping.Go(func() { dropResponsesIntermittently(network, stop) })
+	var dropper sync.WaitGroup
+	dropper.Go(func() { dropResponsesIntermittently(network, stop) })
 
 	var mu sync.Mutex
 	winners := map[uint64]string{}
@@ -208,7 +208,7 @@
 	}
 	group.Wait()
 	close(stop)
-	dropping.Wait()
+	dropper.Wait()
 	status, err := s.status()
 	is.NoErr(err)
 	is.Equal(status.Head, uint64(1+len(winners))) // no create was applied twice
