--- a/pkg/bundle/hasher.go
+++ b/pkg/bundle/hasher.go
@@ -167,7 +167,7 @@
 	return len(items) > 0 && len(items) == len(c.lastList) && &items[0] == &c.lastList[0]
 }
 
-// list returns the digest of the number of items and the digests of the items.
+// list returns the digest of a list: the hash of its length and its items' digests.
 func (c *digestCache[T]) list(items []T) (Digest, error) {
 	sum := sha256.New()
 	writeCount(sum, len(items))
--- a/pkg/bundle/validate.go
+++ b/pkg/bundle/validate.go
@@ -226,7 +226,7 @@
 	}
 }
 
-// matchKey identifies the calls that a route matches from one source. Two routes must not have the same.
+// matchKey identifies the calls that a route matches from one source. No two routes may share a matchKey.
 type matchKey struct{ host, prefix, source string }
 
 func (v *validator) checkDuplicateMatches(routes []Route) {
--- a/pkg/catalog/catalog.go
+++ b/pkg/catalog/catalog.go
@@ -17,10 +17,9 @@
 	// MaxStoredResults is the number of most recent operations whose results are kept, so that
 	// a resent command is not executed twice.
 	MaxStoredResults = 4096
-	// maxKeptContents, minKeptContents and maxKeptItems bound the memory of a replica and its restart
-	// time: superseded versions keep their content only among the maxKeptContents newest versions,
-	// and, beyond the minKeptContents newest, only while all contents together have at most
-	// maxKeptItems routes, services, secrets and tenants.
+	// The contents of the minKeptContents newest versions are kept. Those of older superseded versions are kept
+	// up to maxKeptContents versions and while all kept contents have at most maxKeptItems routes, services,
+	// secrets and tenants. This bounds a replica's memory and restart time.
 	maxKeptContents = 64
 	minKeptContents = 8
 	maxKeptItems    = 24_000
@@ -36,7 +35,7 @@
 	StatusCreated Status = "created"
 	// StatusApproved: the version may be rolled.
 	StatusApproved Status = "approved"
-	// StatusActive: the version is the active one.
+	// StatusActive: nodes apply the version.
 	StatusActive Status = "active"
 	// StatusSuperseded: a later version was rolled; this one can never become active again.
 	StatusSuperseded Status = "superseded"
--- a/pkg/catalog/level.go
+++ b/pkg/catalog/level.go
@@ -17,7 +17,8 @@
 	LevelBase Level = iota
 	// LevelSuspects adds evidence about requests that crash back ends, and verdicts on them.
 	LevelSuspects
-	// LevelOrders adds orders, and contents with regions, the kind download, health paths and cold back ends.
+	// LevelOrders adds operators' orders, and contents that set Route.Regions, KindDownload, Service.HealthPath,
+	// ColdStart or ColdRate.
 	LevelOrders
 	// LevelTenants adds contents with tenants and public routes.
 	LevelTenants
--- a/pkg/catalog/publish_test.go
+++ b/pkg/catalog/publish_test.go
@@ -9,9 +9,9 @@
 	"github.com/matryer/is"
 )
 
-// publish returns the command that publishes a content, with a path that depends on variant, as
+// publishCommand returns the command that publishes a content, with a path that depends on variant, as
 // version number.
-func publish(t *testing.T, c *Catalog, base, number uint64, variant string) Command {
+func publishCommand(t *testing.T, c *Catalog, base, number uint64, variant string) Command {
 	t.Helper()
 	content := bundle.Content{
 		Services: []bundle.Service{{Name: "s"}},
@@ -25,9 +25,9 @@
 func TestPublishActivatesVersionUnderItsNumber(t *testing.T) {
 	is := is.New(t)
 	c := New()
-	is.Equal(code(c.Apply(publish(t, c, 0, 7, "x"))), Code(""))
+	is.Equal(code(c.Apply(publishCommand(t, c, 0, 7, "x"))), Code(""))
 	is.Equal(c.State().Position().Active, uint64(7))
-	is.Equal(code(c.Apply(publish(t, c, 7, 12, "y"))), Code("")) // numbers may have gaps
+	is.Equal(code(c.Apply(publishCommand(t, c, 7, 12, "y"))), Code("")) // numbers may have gaps
 	is.Equal(c.State().Position().Active, uint64(12))
 	is.Equal(string(c.Source), `{"v":12,{"p":"y"}`)
 }
@@ -37,10 +37,10 @@
 func TestResentPublicationChangesNothing(t *testing.T) {
 	is := is.New(t)
 	c := New()
-	first := publish(t, c, 0, 1, "first")
+	first := publishCommand(t, c, 0, 1, "first")
 	is.Equal(code(c.Apply(first)), Code(""))
 	for number := uint64(2); number < 600; number++ {
-		is.Equal(code(c.Apply(publish(t, c, number-1, number, fmt.Sprint(number)))), Code(""))
+		is.Equal(code(c.Apply(publishCommand(t, c, number-1, number, fmt.Sprint(number)))), Code(""))
 	}
 	is.Equal(code(c.Apply(first)), Code(""))
 	is.Equal(c.State().Position().Active, uint64(599))
@@ -56,8 +56,8 @@
 func TestOnlyOneOfTwoPublicationsOnOneBaseSucceeds(t *testing.T) {
 	is := is.New(t)
 	c := New()
-	c.Apply(publish(t, c, 0, 1, "x"))
-	one, two := publish(t, c, 1, 2, "one"), publish(t, c, 1, 2, "two")
+	c.Apply(publishCommand(t, c, 0, 1, "x"))
+	one, two := publishCommand(t, c, 1, 2, "one"), publishCommand(t, c, 1, 2, "two")
 	is.Equal(code(c.Apply(one)), Code(""))
 	is.Equal(code(c.Apply(two)), CodeConflict)
 	is.Equal(code(c.Apply(one)), Code(""))
@@ -67,13 +67,13 @@
 func TestPublishRejectsInvalidRequests(t *testing.T) {
 	is := is.New(t)
 	c := New()
-	c.Apply(publish(t, c, 0, 5, "x"))
-	is.Equal(code(c.Apply(publish(t, c, 5, 5, "again"))), CodeInvalidBundle) // not above the head
-	is.Equal(code(c.Apply(publish(t, c, 4, 9, "stale"))), CodeConflict)
-	wrongDigest := publish(t, c, 5, 9, "y")
+	c.Apply(publishCommand(t, c, 0, 5, "x"))
+	is.Equal(code(c.Apply(publishCommand(t, c, 5, 5, "again"))), CodeInvalidBundle) // not above the head
+	is.Equal(code(c.Apply(publishCommand(t, c, 4, 9, "stale"))), CodeConflict)
+	wrongDigest := publishCommand(t, c, 5, 9, "y")
 	wrongDigest.Publish.SourceDigest[0] ^= 1
 	is.Equal(code(c.Apply(wrongDigest)), CodeConflict)
-	invalid := publish(t, c, 5, 9, "y")
+	invalid := publishCommand(t, c, 5, 9, "y")
 	invalid.Publish.Delta.RemovedServices = []string{"s"}
 	is.Equal(code(c.Apply(invalid)), CodeInvalidBundle)
 	is.Equal(c.HeadVersion(), uint64(5))
--- a/pkg/control/nodes.go
+++ b/pkg/control/nodes.go
@@ -38,7 +38,7 @@
 	r.nodes[report.Node] = operator.Node{
 		Name: report.Node, Group: report.Group, Zone: report.Zone,
 		Active: report.Position.Active, Staged: report.Position.Staged, Revision: report.Position.Revision,
-		Connected: report.Connected, HeardMillis: at.UnixMilli(), Closed: closedGate(report.Closed),
+		Connected: report.Connected, HeardMillis: at.UnixMilli(), Closed: describeClosedGate(report.Closed),
 	}
 }
 
@@ -68,7 +68,7 @@
 	return &protocol.EarlierSubscribers{Count: len(r.levels), Level: r.lowestLocked()}
 }
 
-func closedGate(closed *protocol.ClosedGate) *operator.ClosedGate {
+func describeClosedGate(closed *protocol.ClosedGate) *operator.ClosedGate {
 	if closed == nil {
 		return nil
 	}
--- a/pkg/control/orders_test.go
+++ b/pkg/control/orders_test.go
@@ -151,7 +151,8 @@
 	is.Equal(publish(), content.Services[0])
 	server.nodes.record(protocol.NodeReport{Node: "n", Connected: true, Level: catalog.NewestLevel}, time.Now())
 	is.Equal(publish(), content.Services[0])
-	server.handleAnnounce(gobRoundTrip(t, protocol.Announce{Earlier: &protocol.EarlierSubscribers{Count: 1}})) // another replica has such a subscriber
+	// Another replica reports a subscriber at LevelBase.
+	server.handleAnnounce(gobRoundTrip(t, protocol.Announce{Earlier: &protocol.EarlierSubscribers{Count: 1}}))
 	is.Equal(publish(), bundle.Service{Name: "s"})
 
 	var reported subscriberLevels
--- a/pkg/ctl/status.go
+++ b/pkg/ctl/status.go
@@ -151,7 +151,7 @@
 
 func (p watchProgress) done() bool { return p.Connected > 0 && p.InForce == p.Connected }
 
-// watch prints each change of progress until every connected node has a version, or a
+// watch prints each change of progress until every connected node has the version with the given number, or a
 // later one, in force.
 func (s *session) watch(number uint64) error {
 	var last watchProgress
--- a/pkg/ctl/tenants.go
+++ b/pkg/ctl/tenants.go
@@ -55,7 +55,8 @@
 // Execute implements flags.Commander.
 func (c *digestKeyCommand) Execute([]string) error { return nil }
 
-// run reads a tenant's key from standard input, so that it appears in no process list or shell history.
+// run prints the digest of a tenant's key. It reads the key from standard input, so that it appears in no
+// process list or shell history.
 func (c *digestKeyCommand) run(s *session) error {
 	line, err := bufio.NewReader(os.Stdin).ReadString('\n')
 	key := strings.TrimRight(line, "\r\n")
--- a/pkg/daemon/reload.go
+++ b/pkg/daemon/reload.go
@@ -15,9 +15,9 @@
 // made without a signal.
 const settingsPollInterval = 5 * time.Second
 
-// watchSettings calls reload after the settings file has changed, on SIGHUP or when polling
-// it. SIGHUP stays caught without a file and after ctx has ended, since by default it would
-// terminate the process while it drains calls.
+// watchSettings reads the settings file on SIGHUP and at each poll, and calls reload if it has changed. SIGHUP
+// stays caught without a file and after ctx has ended, since by default it would terminate the process while it
+// drains calls.
 func watchSettings(ctx context.Context, path string, logger log.Logger, reload func() error) {
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
--- a/pkg/distribution/watchlist_test.go
+++ b/pkg/distribution/watchlist_test.go
@@ -49,7 +49,7 @@
 				is.Equal(update.Watchlist, nil) // it is not sent again
 			}
 			is.Equal(len(holder.State().Watchlist.Entries), 1)
-			// A new holder gets it.
+			// A new holder gets the watchlist.
 			update, err := NewPlanner(state).Plan(group, Position{})
 			is.NoErr(err)
 			is.Equal(update.Watchlist.Entries, []quarantine.Entry{{Request: "r"}})
--- a/pkg/exchange/exchange.go
+++ b/pkg/exchange/exchange.go
@@ -30,7 +30,8 @@
 	HeaderPriority = "Gate-Priority"
 	// HeaderWait is how many milliseconds a call may queue at a gate.
 	HeaderWait = "Gate-Wait-Ms"
-	// HeaderEarlyRefusal is for how many more milliseconds a refusal leaves the caller time to retry elsewhere.
+	// HeaderEarlyRefusal is the time in milliseconds within which the gate must refuse a call so that the caller
+	// can still retry it elsewhere.
 	HeaderEarlyRefusal = "Gate-Early-Ms"
 	// HeaderTarget is how many milliseconds remain until the call's target latency, zero if it has
 	// passed.
--- a/pkg/exchange/pacer.go
+++ b/pkg/exchange/pacer.go
@@ -10,8 +10,8 @@
 	// RequestShare is the share of the link's rate for all paced request bodies together. Bodies
 	// that would miss their deadline exceed it.
 	RequestShare = 0.35
-	// Large responses get what other traffic leaves of usableLinkShare of the link's rate, but
-	// between minResponseShare and maxResponseShare. The rest of the link is packet overhead.
+	// usableLinkShare is the share of the link's rate that is not packet overhead. Large responses get the part
+	// of it that other traffic leaves, at least minResponseShare and at most maxResponseShare.
 	usableLinkShare  = 0.95
 	minResponseShare = 0.4
 	maxResponseShare = 0.92
--- a/pkg/exchange/sent.go
+++ b/pkg/exchange/sent.go
@@ -19,7 +19,7 @@
 
 const sentSeparator = "-"
 
-// String returns the time in the format of HeaderSent, in milliseconds.
+// String returns the process and the time in milliseconds, both in base 36, separated by a hyphen.
 func (s Sent) String() string {
 	return strconv.FormatUint(uint64(s.Process), 36) + sentSeparator + strconv.FormatInt(max(0, s.At.Milliseconds()), 36)
 }
--- a/pkg/machinelist/machinelist_test.go
+++ b/pkg/machinelist/machinelist_test.go
@@ -54,7 +54,7 @@
 		is.Equal(len(tracker.Changes(table, truncated)), 0)
 	}
 	full := List{Machines: []Machine{machine("a", 1, false), machine("b", 1, false)}}
-	is.Equal(len(tracker.Changes(table, full)), 0) // its return resets the count
+	is.Equal(len(tracker.Changes(table, full)), 0) // b is listed again, which resets its misses
 	for range removeAfterMisses - 1 {
 		is.Equal(len(tracker.Changes(table, truncated)), 0)
 	}
--- a/pkg/operator/api.go
+++ b/pkg/operator/api.go
@@ -68,8 +68,7 @@
 	Manifest bundle.Manifest `json:"manifest"`
 	Status   catalog.Status  `json:"status"`
 	KeyID    string          `json:"key_id,omitempty"`
-	// HandBack is set if the version's routes use their HandBackService. It is not set once the version's
-	// content is no longer stored.
+	// HandBack is the HandBack of the version's bundle.Content, false once the content is no longer stored.
 	HandBack       bool  `json:"hand_back,omitempty"`
 	CreatedMillis  int64 `json:"created_millis"`
 	ApprovedMillis int64 `json:"approved_millis,omitempty"`
@@ -114,7 +113,8 @@
 	Revision uint64          `json:"revision"`
 	LogBytes int64           `json:"log_bytes"`
 	Replicas []ReplicaStatus `json:"replicas"`
-	// PlatformError is the error of the latest read of the platform's list, empty if it succeeded.
+	// PlatformError is the error of the latest read of the platform's machine list (package machinelist), empty
+	// if it succeeded.
 	PlatformError string `json:"platform_error,omitempty"`
 }
 
--- a/pkg/operator/client.go
+++ b/pkg/operator/client.go
@@ -72,7 +72,7 @@
 }
 
 // QueryAll sends a GET request to every replica once and passes each response to handle. It returns the number
-// of responses, and the last error if there were none.
+// of responses, and the last error if there were none. An error of handle ends the query and is returned.
 func (c *Client) QueryAll(ctx context.Context, path string, handle func(response []byte) error) (int, error) {
 	responses := 0
 	var lastErr error
--- a/pkg/operator/client_test.go
+++ b/pkg/operator/client_test.go
@@ -50,7 +50,7 @@
 	is.True(err != nil && strings.Contains(err.Error(), "no leader answered"))
 }
 
-// Guards against waiting for a replica that accepts connections but never responds, like a frozen process.
+// The client must not wait long for a replica that accepts connections but never responds.
 func TestFrozenReplicaDoesNotBlockTheClient(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/pkg/operator/rollout.go
+++ b/pkg/operator/rollout.go
@@ -40,8 +40,8 @@
 // RolloutSide sums the reports of the gates of the old or the new version since the order.
 type RolloutSide struct {
 	Admitted uint64 `json:"admitted,omitempty"`
-	// Answered counts successful responses, Failed errors of the back ends and calls without a response within
-	// their timeout. Calls that the caller abandoned count as neither.
+	// Answered counts successful responses. Failed counts error responses of the back ends and calls without a
+	// response within their timeout. Calls that the caller abandoned count as neither.
 	Answered uint64 `json:"answered"`
 	Failed   uint64 `json:"failed"`
 	// Median is the median response time, rounded up to a bucket boundary of the gates' histograms.
--- a/pkg/protocol/protocol.go
+++ b/pkg/protocol/protocol.go
@@ -219,12 +219,12 @@
 	Endpoints []distribution.Endpoint
 	Evidence  *quarantine.Evidence
 	Rollouts  []RolloutReport
-	// Closed is handled by the receiving server and not forwarded.
+	// Closed is the state of the subscriber's gate while orders keep it closed. It is not forwarded to the leader.
 	Closed *ClosedGate
 	// Earlier describes the replica's subscribers of an earlier release, nil for none.
 	Earlier *EarlierSubscribers
-	// Quotas is handled by the receiving server and not forwarded. Sum is sent by a replica to the
-	// leader, Shares by the leader to a replica; nil for none.
+	// Quotas is the usage report of a node or relay, which is not forwarded. Sum combines a replica's reports,
+	// for the leader. Shares are the shares that the leader allots to a replica's subscribers. nil means none.
 	Quotas *quota.Report
 	Sum    *quota.Sum
 	Shares *quota.Shares
--- a/pkg/proxy/config_store_test.go
+++ b/pkg/proxy/config_store_test.go
@@ -122,7 +122,7 @@
 	is.NoErr(s.Apply(update))
 	is.True(s.holder.State().Orders.Evacuated("a"))
 
-	restarted, _, _ := startStore(t, files) // saved by this release
+	restarted, _, _ := startStore(t, files) // this release saved the state that is loaded here
 	is.Equal(restarted.Position(), controlState.Position())
 	is.True(restarted.holder.State().Orders.Evacuated("a"))
 }
--- a/pkg/proxy/observer.go
+++ b/pkg/proxy/observer.go
@@ -141,8 +141,8 @@
 	}, func() float64 { return float64(limiter.Totals().Limited) }))
 }
 
-// registerLargeResponses registers how much of the machine's link and of memory large bodies and responses use.
-func (o *observer) registerLargeResponses(registry prometheus.Registerer, m *link.Meter, buffer *exchange.ResponseBuffer) {
+// registerLargeBodies registers how much of the machine's link and of memory large bodies and responses use.
+func (o *observer) registerLargeBodies(registry prometheus.Registerer, m *link.Meter, buffer *exchange.ResponseBuffer) {
 	for direction, read := range map[string]func() int64{"received": m.ScheduledBodyBytesReceived, "sent": m.LargeResponseBytesSent} {
 		registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 			Name: "bramblelift_link_large_bytes_total", Help: "Bytes of large request bodies received and of large answers sent.",
@@ -174,8 +174,8 @@
 		"reason", call.Reason, "attempts", call.Attempts, "took", call.Duration.Round(time.Microsecond))
 }
 
-// attempt counts and logs an attempt that brought no response. Retried attempts at a busy gate or one of another
-// version are expected and not logged.
+// attempt counts an attempt whose response is not returned to the caller, and logs it unless it is retried after
+// a busy gate or a gate of another version.
 func (o *observer) attempt(a forward.Attempt) {
 	o.attempts.WithLabelValues(string(a.Reason)).Inc()
 	if a.Retried && (a.Reason.Busy() || a.Reason == exchange.ReasonVersion) {
--- a/pkg/proxy/proxy.go
+++ b/pkg/proxy/proxy.go
@@ -129,7 +129,7 @@
 	}
 	s.observer = newObserver(s.admin.Registry, logger)
 	s.observer.registerLink(s.admin.Registry, s.link)
-	s.observer.registerLargeResponses(s.admin.Registry, s.link, s.responseBuffer)
+	s.observer.registerLargeBodies(s.admin.Registry, s.link, s.responseBuffer)
 	s.observer.registerQuarantine(s.admin.Registry, &s.quarantine, &s.suspects)
 	s.observer.registerQuotas(s.admin.Registry, s.quotas)
 	if err := s.openGate(); err != nil {
--- a/pkg/registration/registration.go
+++ b/pkg/registration/registration.go
@@ -74,7 +74,8 @@
 	GateAddress string
 	// OnAnnouncement, if set, is called when PendingAnnouncements has changed, so that the node can send them.
 	OnAnnouncement func()
-	// OnStateChange, if set, is called with the heartbeat that caused the change, for logs.
+	// OnStateChange, if set, is called for logs when a back end is added, leaves, or changes its state or
+	// capacity, with its latest heartbeat.
 	OnStateChange func(Heartbeat)
 }
 
@@ -167,7 +168,7 @@
 	entry.heartbeat.State = Departed
 	entry.acknowledged = false
 	r.updateGate(entry.heartbeat)
-	r.recordDeparture(entry.heartbeat)
+	r.rememberDeparted(entry.heartbeat)
 	left := entry.heartbeat
 	r.mu.Unlock()
 	if alreadyDeparted {
@@ -187,14 +188,14 @@
 		if other.heartbeat.Address == h.Address && other.heartbeat.State != Departed {
 			delete(r.backends, id)
 			if id != h.ID {
-				r.recordDeparture(other.heartbeat)
+				r.rememberDeparted(other.heartbeat)
 			}
 		}
 	}
 }
 
-// recordDeparture remembers an incarnation that left, up to the latest maxDeparted ones.
-func (r *Registry) recordDeparture(h Heartbeat) {
+// rememberDeparted remembers an incarnation that left, up to the latest maxDeparted ones.
+func (r *Registry) rememberDeparted(h Heartbeat) {
 	key := incarnationKey{id: h.ID, incarnation: h.incarnation()}
 	if !slices.Contains(r.departed, key) {
 		r.departed = append(r.departed, key)
--- a/pkg/registration/registration_test.go
+++ b/pkg/registration/registration_test.go
@@ -13,15 +13,15 @@
 
 // recordingGate records the updates that it receives.
 type recordingGate struct {
-	updates []string
-	cold    []string
+	updates     []string
+	coldUpdates []string
 }
 
 func (g *recordingGate) SetBackend(b gate.Backend) {
 	g.updates = append(g.updates, fmt.Sprintf("set %s %d", b.ID, b.Capacity))
 }
 func (g *recordingGate) SetColdRemaining(id string, remaining time.Duration) {
-	g.cold = append(g.cold, fmt.Sprint(id, " ", remaining))
+	g.coldUpdates = append(g.coldUpdates, fmt.Sprint(id, " ", remaining))
 }
 
 func (g *recordingGate) RemoveBackend(id string) { g.updates = append(g.updates, "remove "+id) }
@@ -126,5 +126,5 @@
 	cold(3, 500*time.Millisecond)
 	cold(2, time.Second)
 	cold(4, 0)
-	is.Equal(g.cold, []string{"a 2s", "a 500ms", "a 0s"})
+	is.Equal(g.coldUpdates, []string{"a 2s", "a 500ms", "a 0s"})
 }
--- a/pkg/settings/rollouts.go
+++ b/pkg/settings/rollouts.go
@@ -4,8 +4,8 @@
 
 // Rollouts bounds how many of a service's calls a new version may get until it is proven.
 type Rollouts struct {
-	// ExposureShare is the share, from 0 to 1, of the service's calls between the order and its
-	// deadline. ExposureSlack is a number of calls in addition. Zero selects the default.
+	// ExposureShare is the share, from 0 to 1, of the service's calls between the start of the
+	// rollout and its deadline. ExposureSlack is a number of calls in addition. Zero selects the default.
 	ExposureShare float64 `toml:"exposure_share,omitempty"`
 	ExposureSlack uint64  `toml:"exposure_slack,omitempty"`
 }
--- a/pkg/settings/settings.go
+++ b/pkg/settings/settings.go
@@ -182,7 +182,7 @@
 	LinkMegabits float64 `toml:"link_megabits,omitempty"`
 	// Headers are the names of the headers that calls carry.
 	Headers Headers `toml:"headers,omitempty"`
-	// Retries bounds the retries of calls.
+	// Retries limits the ratio of retries to calls over all nodes together.
 	Retries Retries `toml:"retries,omitempty"`
 	// Quotas sets by how much calls may exceed the tenants' limits.
 	Quotas Quotas `toml:"quotas,omitempty"`
@@ -360,7 +360,7 @@
 	return p.joined()
 }
 
-// checkReplicas checks that the other replicas are given by either a fixed list or seeds.
+// checkReplicas checks the seeds or the fixed list of replicas, and sets the defaults that apply with seeds.
 func (p *problems) checkReplicas(c *Control) {
 	if len(c.Seeds) > 0 {
 		setDefaultDuration(&c.RemoveAfter, defaultRemoveAfter)
--- a/pkg/stream/hub.go
+++ b/pkg/stream/hub.go
@@ -191,8 +191,8 @@
 	}
 	h.add(s)
 	defer h.remove(s)
-	// The first message follows the first ping: a client that finds a nearer server in the Welcome
-	// moves there instead of pinging.
+	// The server sends no update before the first ping, because a client that finds a nearer server in the
+	// Welcome moves there without a ping.
 	var group sync.WaitGroup
 	defer group.Wait()
 	group.Go(func() {
--- a/pkg/stream/nearer_test.go
+++ b/pkg/stream/nearer_test.go
@@ -142,14 +142,14 @@
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	var known atomic.Pointer[[]protocol.Server]
-	known.Store(&[]protocol.Server{})
-	servers := func() []protocol.Server { return *known.Load() }
+	var knownServers atomic.Pointer[[]protocol.Server]
+	knownServers.Store(&[]protocol.Server{})
+	servers := func() []protocol.Server { return *knownServers.Load() }
 	far, near := startHub(t, ctx, servers), startHub(t, ctx, servers)
 	early := subscribeTo(t, ctx, far.address)
 	awaitServer(early, far.address)
 	is.Equal(early.Server(), far.address)
-	known.Store(&[]protocol.Server{{Address: far.address, Zone: "other"}, {Address: near.address, Zone: "own"}})
+	knownServers.Store(&[]protocol.Server{{Address: far.address, Zone: "other"}, {Address: near.address, Zone: "own"}})
 	awaitServer(early, near.address)
 	is.Equal(early.Server(), near.address)
 	sent := far.updates.Load()
--- a/pkg/stream/selector.go
+++ b/pkg/stream/selector.go
@@ -24,7 +24,7 @@
 	return all
 }
 
-// SelectorConfig configures a Selector.
+// SelectorConfig sets the delays after which a Selector leaves and retries servers.
 type SelectorConfig struct {
 	// FirstBackoff and MaxBackoff bound the pause after a failure, which doubles while every
 	// candidate is marked as failed.
--- a/pkg/stream/server_move_test.go
+++ b/pkg/stream/server_move_test.go
@@ -64,7 +64,7 @@
 	s.HandlePing(protocol.Ping{Sequence: 1, Position: distribution.Position{Revision: 9, Active: 4}})
 	is.Equal(s.sent, distribution.Position{Revision: 9, Active: 4})
 	s.HandlePing(protocol.Ping{Sequence: 2, Position: distribution.Position{Revision: 5, Active: 2}})
-	is.Equal(s.sent.Revision, uint64(9)) // updates sent since may be in transit
+	is.Equal(s.sent.Revision, uint64(9)) // a later ping doesn't move it back: updates may be in transit
 	s = NewSession("", distribution.Position{})
 	s.HandlePing(protocol.Ping{Sequence: 1, Position: distribution.Position{Revision: 9, Active: 4}})
 	is.Equal(s.sent, distribution.Position{}) // an empty position requests the full state
